--- a/bench/lookup.py
+++ b/bench/lookup.py
@@ -162,7 +162,7 @@
 def _change(table: ClientBlocks, parts: list[RegionBlocks]) -> ClientBlocks:
     moved, rest = parts[-1].networks[:CHANGED], parts[-1].networks[CHANGED:]
     changed = [RegionBlocks(REGIONS[0], moved), RegionBlocks(parts[-1].region, rest)]
-    return table.changed_to(BlockList(parts=[*parts[:-1], *changed]))
+    return table.with_blocks(BlockList(parts=[*parts[:-1], *changed]))
 
 
 def _measure(count: int) -> dict[str, float]:
--- a/src/wagtailpoint/daemon/entry_role.py
+++ b/src/wagtailpoint/daemon/entry_role.py
@@ -6,9 +6,9 @@
 import trio
 
 from wagtailpoint.daemon.processor_load import ProcessorLoad
-from wagtailpoint.discovery.bound_part import BoundPart
+from wagtailpoint.discovery.bound_share import BoundShare
 from wagtailpoint.discovery.instance_count import InstanceCount
-from wagtailpoint.lookup.entry_choice import OVERLOADED, EntriesAround, EntryChoice
+from wagtailpoint.lookup.entry_choice import OVERLOADED_LOAD, EntryChoice, NearbyEntryCounts
 from wagtailpoint.membership import Membership
 from wagtailpoint.observe.log import log_event
 
@@ -31,11 +31,11 @@
         self._membership = membership
         own = membership.own
         self._choice = EntryChoice(members=membership.members)
-        self._around = EntriesAround(
+        self._around = NearbyEntryCounts(
             choice=self._choice, region=own.region, failure_domain=own.failure_domain
         )
         self._address = own.address
-        self._part = BoundPart(
+        self._part = BoundShare(
             instances=instances,
             entries=InstanceCount(alive=lambda: len(self._choice.all), registered=registered),
             is_entry=self.is_entry,
@@ -47,7 +47,7 @@
         return self._choice
 
     @property
-    def around(self) -> EntriesAround:
+    def around(self) -> NearbyEntryCounts:
         """How many there are around this instance."""
         return self._around
 
@@ -67,7 +67,7 @@
         while True:
             await trio.sleep(LOAD_INTERVAL_S)
             value = load.read()
-            if overloaded != (value >= OVERLOADED):
+            if overloaded != (value >= OVERLOADED_LOAD):
                 overloaded = not overloaded
                 event = "overload-begins" if overloaded else "overload-ends"
                 log_event(event, level="WARNING" if overloaded else "INFO", load=round(value, 3))
--- a/src/wagtailpoint/daemon/followers.py
+++ b/src/wagtailpoint/daemon/followers.py
@@ -39,8 +39,8 @@
         kind: str,
         apply: Callable[[KindState], None],
         *,
-        lapses: bool = False,
-        checked: bool = True,
+        can_expire: bool = False,
+        is_checked: bool = True,
     ) -> KindFollower:
         def apply_change() -> None:
             apply(made.state)
@@ -53,17 +53,17 @@
             check=check,
             on_change=apply_change,
             random=random,
-            lapses=lapses,
-            checked=checked,
+            can_expire=can_expire,
+            is_checked=is_checked,
             watching=False,
         )
         return made
 
     followers = [
         follower(CONFIG_KIND, lambda told: state.apply_config(told.objects)),
-        follower(SERVERS_KIND, lambda told: state.apply_servers(told.objects), lapses=True),
+        follower(SERVERS_KIND, lambda told: state.apply_servers(told.objects), can_expire=True),
         follower(EVACUATIONS_KIND, lambda told: state.apply_evacuations(told.objects)),
         # Not checked: peers tell it, too, and each kind more makes the check of the others rarer.
-        follower(QUARANTINE_KIND, quarantine.take_stored, checked=False),
+        follower(QUARANTINE_KIND, quarantine.take_stored, is_checked=False),
     ]
     return {each.kind: each for each in followers}
--- a/src/wagtailpoint/daemon/lookups.py
+++ b/src/wagtailpoint/daemon/lookups.py
@@ -31,7 +31,7 @@
 
         May run in a thread: the table in use is left as it is.
         """
-        self._blocks = self._blocks.changed_to(config.client_blocks)
+        self._blocks = self._blocks.with_blocks(config.client_blocks)
 
     def apply(self, config: EffectiveConfig) -> None:
         """Follow the configuration that was prepared last."""
--- a/src/wagtailpoint/daemon/shared_quarantine.py
+++ b/src/wagtailpoint/daemon/shared_quarantine.py
@@ -6,7 +6,7 @@
 import trio
 from result import Ok
 
-from wagtailpoint.discovery.kind_state import KindState, state_of
+from wagtailpoint.discovery.kind_state import KindState, state_from_listing
 from wagtailpoint.membership import Membership
 from wagtailpoint.membership.duty import has_duty
 from wagtailpoint.observe.log import log_event
@@ -72,7 +72,7 @@
         while True:
             listing = await self._platform.list(kind=KIND)
             if isinstance(listing, Ok):
-                self.take_stored(state_of(listing.ok_value))
+                self.take_stored(state_from_listing(listing.ok_value))
             else:
                 log_event("quarantine-unread", level="WARNING", error=listing.err_value)
             await trio.sleep(READ_INTERVAL_S * self._random.uniform(0.8, 1.2))
--- a/src/wagtailpoint/daemon/steering.py
+++ b/src/wagtailpoint/daemon/steering.py
@@ -21,7 +21,7 @@
 from wagtailpoint.discovery.entries import ServerStart
 from wagtailpoint.discovery.fleet import Fleet
 from wagtailpoint.discovery.instance_count import InstanceCount
-from wagtailpoint.discovery.lost_registrations import LostRegistrations
+from wagtailpoint.discovery.lost_registrations import LostRegistrationCleaner
 from wagtailpoint.discovery.peer_states import PeerStateExchange
 from wagtailpoint.discovery.registration import Registration
 from wagtailpoint.discovery.store_check import StoreCheck
@@ -131,7 +131,7 @@
             instances=self._instance_count,
             registered=lambda: self._registration.count,
         )
-        self._lost_registrations = LostRegistrations(
+        self._lost_registrations = LostRegistrationCleaner(
             platform=self._platform, membership=self._membership, random=self._random
         )
         self._quarantine = SharedQuarantine(
@@ -171,7 +171,7 @@
             quarantine=self._quarantine,
             on_change=self._note_change,
         )
-        self._exchange.answer_for(self._followers)
+        self._exchange.set_followers(self._followers)
         self._sharing = WatchSharing(
             peers=self._peers,
             membership=self._membership,
@@ -332,7 +332,7 @@
         return self._alive() <= 1
 
     def _is_ready(self) -> bool:
-        known = all(follower.known for follower in self._followers.values())
+        known = all(follower.has_state for follower in self._followers.values())
         return known and self._state.table is not None and not self._leaving
 
     def _gauges(self) -> dict[str, float]:
@@ -346,12 +346,12 @@
             "load": self._membership.own.load,
             **self._quarantine.gauges,
             **self._workspaces.gauges,
-            "watching": all(each.watching for each in self._followers.values()),
+            "watching": all(each.is_watching for each in self._followers.values()),
             "config_version": self._state.table.version if self._state.table else 0,
         }
 
     def _note_change(self) -> None:
-        self._sharing.note_change()
+        self._sharing.answer_waiting()
         self._workspaces.note_change()
         if self._membership.own.state == "starting" and self._is_ready():
             self._membership.publish(state="live")
--- a/src/wagtailpoint/daemon/store_state.py
+++ b/src/wagtailpoint/daemon/store_state.py
@@ -86,7 +86,9 @@
             else:
                 entries.append(self._heartbeats.newest(found))
         known = self._fleet.entries
-        for start in self._fleet.change(entries, gone=[name for name in gone if name in known]):
+        for start in self._fleet.apply_changes(
+            entries, gone=[name for name in gone if name in known]
+        ):
             self._on_gone(start)
 
     def apply_evacuations(self, objects: Mapping[str, StoredObject]) -> None:
--- a/src/wagtailpoint/daemon/workspace_rules.py
+++ b/src/wagtailpoint/daemon/workspace_rules.py
@@ -125,7 +125,7 @@
         """What the store says has changed."""
         self._slots.note_change()
         if self._confirmation is not None:
-            self._confirmation.note_change()
+            self._confirmation.on_config_change()
 
     async def give_up(self) -> None:
         """Let others have the slots, before this instance leaves."""
--- a/src/wagtailpoint/discovery/bound_part.py
+++ b/src/wagtailpoint/discovery/bound_share.py
@@ -10,7 +10,7 @@
 callers keep an old answer, and views of the members differ for a moment."""
 
 
-class BoundPart:
+class BoundShare:
     """Divides a bound by who gets the requests.
 
     Divided by all instances alike, most of it would lie with those that get none, and requests
--- a/src/wagtailpoint/discovery/confirmation.py
+++ b/src/wagtailpoint/discovery/confirmation.py
@@ -80,20 +80,20 @@
             elif not await self._confirm():
                 await trio.sleep(RETRY_S * self._random.uniform(0.7, 1.3))
 
-    def note_change(self) -> None:
+    def on_config_change(self) -> None:
         """The configuration has changed: a start need not wait to ask."""
         self._changed.set()
         self._changed = trio.Event()
 
     def _is_due(self) -> bool:
         follower = self._follower
-        if not follower.known or not self._is_needed() or follower.lost_for_s > 0.0:
+        if not follower.has_state or not self._is_needed() or follower.lost_for_s > 0.0:
             return False
         age_s = self._freshness.age_s
         if age_s == math.inf:
             return True
         due_s = CONFIRM_INTERVAL_S if self._is_watcher() else FORSAKEN_S
-        return follower.watching and age_s >= due_s
+        return follower.is_watching and age_s >= due_s
 
     async def _confirm(self) -> bool:
         """Ask once; whether there was an answer."""
--- a/src/wagtailpoint/discovery/fleet.py
+++ b/src/wagtailpoint/discovery/fleet.py
@@ -96,7 +96,7 @@
         del self._cold_until[start]
         return False
 
-    def note_cold(self, start: ServerStart, cold_s: float) -> None:
+    def record_cold(self, start: ServerStart, cold_s: float) -> None:
         """Take note that a backend server stays cold for so many seconds."""
         if cold_s > 0:
             until = trio.current_time() + cold_s
@@ -105,9 +105,11 @@
     def update(self, entries: Iterable[ServerEntry]) -> list[ServerStart]:
         """Take in all entries; return those that are gone, or have started again."""
         found = {each.server_id: each for each in entries}
-        return self.change(found.values(), gone=self._entries.keys() - found.keys())
+        return self.apply_changes(found.values(), gone=self._entries.keys() - found.keys())
 
-    def change(self, entries: Iterable[ServerEntry], *, gone: Collection[str]) -> list[ServerStart]:
+    def apply_changes(
+        self, entries: Iterable[ServerEntry], *, gone: Collection[str]
+    ) -> list[ServerStart]:
         """Take in entries that are new or have changed, and the ids of those that are gone.
 
         Returns:
@@ -133,7 +135,7 @@
 
     def _put(self, entry: ServerEntry, before: ServerEntry | None) -> None:
         if before is None or entry.start != before.start or entry.cold_left_s != before.cold_left_s:
-            self.note_cold(entry.start, entry.cold_left_s)
+            self.record_cold(entry.start, entry.cold_left_s)
         log_event(
             "server-known",
             server=entry.server_id,
@@ -160,7 +162,7 @@
         for entry in self._entries.values():
             if entry.failure_domain in taken_back:
                 policy = services.get(entry.service)
-                self.note_cold(entry.start, policy.cold_s if policy else EVACUATED_COLD_S)
+                self.record_cold(entry.start, policy.cold_s if policy else EVACUATED_COLD_S)
         self._evacuated = failure_domains
         log_event("evacuations", domains=",".join(sorted(failure_domains)))
         self._note_change()
--- a/src/wagtailpoint/discovery/follower.py
+++ b/src/wagtailpoint/discovery/follower.py
@@ -11,7 +11,7 @@
     KindState,
     PeerState,
     PeerStates,
-    state_of,
+    state_from_listing,
 )
 from wagtailpoint.discovery.store_check import StoreCheck
 from wagtailpoint.errors import PlatformUnavailable, WatchTooOld
@@ -62,8 +62,8 @@
         check: StoreCheck,
         on_change: Callable[[], None],
         random: Random,
-        lapses: bool = False,
-        checked: bool = True,
+        can_expire: bool = False,
+        is_checked: bool = True,
         watching: bool = True,
     ) -> None:
         """Make a follower that knows nothing yet.
@@ -75,8 +75,8 @@
             check: Notices when a watch waits in vain.
             on_change: Called after every change of ``objects``; must not block.
             random: For the jitter.
-            lapses: Objects of this kind are removed when they are not renewed.
-            checked: Compare what is known with cheap reads, in turn with other kinds.
+            can_expire: Objects of this kind are removed when they are not renewed.
+            is_checked: Compare what is known with cheap reads, in turn with other kinds.
             watching: Watch the store after the first listing; else wait to be told.
         """
         self._kind = kind
@@ -85,7 +85,7 @@
         self._check = check
         self._on_change = on_change
         self._random = random
-        self._lapses = lapses
+        self._can_expire = can_expire
         self._version = 0
         self._objects: dict[str, StoredObject] = {}
         self._doubtful: dict[str, float] = {}
@@ -98,8 +98,8 @@
         self._watching = trio.Event()
         self._watch_given_up = trio.Event()
         self._missed = False
-        self.watching = watching
-        if checked:
+        self.is_watching = watching
+        if is_checked:
             check.read(kind, self._compare)
 
     @property
@@ -118,7 +118,7 @@
         return KindState(self._version, self._objects)
 
     @property
-    def known(self) -> bool:
+    def has_state(self) -> bool:
         """Whether any state of the store was ever learned."""
         return self._version > 0
 
@@ -128,15 +128,15 @@
         return 0.0 if self._lost_at is None else trio.current_time() - self._lost_at
 
     @property
-    def watching(self) -> bool:
+    def is_watching(self) -> bool:
         """Whether this instance watches the store itself, and isn't told by peers."""
         return self._watching.is_set()
 
-    @watching.setter
-    def watching(self, watching: bool) -> None:
-        if watching == self._watching.is_set():
+    @is_watching.setter
+    def is_watching(self, is_watching: bool) -> None:
+        if is_watching == self._watching.is_set():
             return
-        if watching:
+        if is_watching:
             self._watch_given_up = trio.Event()
             self._watching.set()
         else:
@@ -149,7 +149,7 @@
     def settled(self) -> bool:
         """Whether the state is the store's, with no doubt left from an outage."""
         trusts = trio.current_time() >= self._trust_removals_at
-        return self.known and self._lost_at is None and not self._doubtful and trusts
+        return self.has_state and self._lost_at is None and not self._doubtful and trusts
 
     def changes_since(self, version: int) -> KindChanges | None:
         """What leads from an older state to this one; None if there is nothing newer."""
@@ -180,7 +180,7 @@
 
         Another watch in its place might not be answered either.
         """
-        if not self.watching or not self.settled or page.version <= self._version:
+        if not self.is_watching or not self.settled or page.version <= self._version:
             return
         known = {
             each.name: each.version for each in self._objects.values() if page.covers(each.name)
@@ -209,7 +209,7 @@
         failures = 0
         must_list = True
         while True:
-            if self.known:
+            if self.has_state:
                 await self._watching.wait()
             failed = await self._list() if must_list else await self._watch()
             if failed is None:
@@ -221,7 +221,7 @@
                 must_list = True
                 continue
             # What a peer told is as good as a listing, so the watch goes on from there.
-            must_list = not self.known
+            must_list = not self.has_state
             self._note_lost(failed)
             failures += 1
             await trio.sleep(RETRY_S * self._random.uniform(0.7, 1.3))
@@ -231,7 +231,7 @@
 
     async def _list(self) -> PlatformUnavailable | None:
         # What a start needs may be seconds old: the watch, or whoever watches, tells the rest.
-        listing = await self._platform.list(kind=self._kind, may_be_stale=not self.known)
+        listing = await self._platform.list(kind=self._kind, may_be_stale=not self.has_state)
         if isinstance(listing, Err):
             return listing.err_value
         self._note_reached()
@@ -242,7 +242,7 @@
                 "listing-outdated", kind=self._kind, version=found.version, known=self._version
             )
             return None
-        self._replace(state_of(found), believe_removals=self._believes_removals())
+        self._replace(state_from_listing(found), believe_removals=self._believes_removals())
         return None
 
     async def _watch(self) -> WatchTooOld | PlatformUnavailable | None:
@@ -299,7 +299,7 @@
         return batch
 
     def _believes_removals(self) -> bool:
-        return not self._lapses or trio.current_time() >= self._trust_removals_at
+        return not self._can_expire or trio.current_time() >= self._trust_removals_at
 
     def _replace(self, state: KindState, *, believe_removals: bool) -> None:
         """Take over a state that is not older than what is known, its version with its objects."""
--- a/src/wagtailpoint/discovery/instance_count.py
+++ b/src/wagtailpoint/discovery/instance_count.py
@@ -10,7 +10,7 @@
 """So long after the first other instance was heard of, all are known; before, the registered ones
 count as well, although some of them may be gone."""
 
-REMEMBERED_S: Final = 300.0
+PEAK_RETENTION_S: Final = 300.0
 """An instance that hears of few others may be cut off from the rest, which go on to spend their
 parts: the most that were alive count for so long."""
 
@@ -41,7 +41,7 @@
         """The number to divide by; at least 1."""
         now = trio.current_time()
         alive = max(1, self._alive())
-        if alive >= self._most or now - self._most_at > REMEMBERED_S:
+        if alive >= self._most or now - self._most_at > PEAK_RETENTION_S:
             self._most, self._most_at = alive, now
         if alive > 1:
             self._company_since = min(self._company_since, now)
--- a/src/wagtailpoint/discovery/kind_state.py
+++ b/src/wagtailpoint/discovery/kind_state.py
@@ -38,6 +38,6 @@
         ...
 
 
-def state_of(listing: Listing) -> KindState:
+def state_from_listing(listing: Listing) -> KindState:
     """The state that a listing of the store tells."""
     return KindState(listing.version, {each.name: each for each in listing.objects})
--- a/src/wagtailpoint/discovery/lost_registrations.py
+++ b/src/wagtailpoint/discovery/lost_registrations.py
@@ -19,7 +19,7 @@
 LOOK_INTERVAL_S: Final = 15.0
 
 
-class LostRegistrations:
+class LostRegistrationCleaner:
     """Removes the objects of instances that have been dead for long; one instance does it for all.
 
     Nothing in the store expires by itself. With 190 instances replaced on a day, each new one would
--- a/src/wagtailpoint/discovery/peer_states.py
+++ b/src/wagtailpoint/discovery/peer_states.py
@@ -73,7 +73,7 @@
         self._followers: Mapping[str, KindFollower] = {}
         peers.handle(StateQuestion, self._answer)
 
-    def answer_for(self, followers: Mapping[str, KindFollower]) -> None:
+    def set_followers(self, followers: Mapping[str, KindFollower]) -> None:
         """Answer questions from these followers, by kind."""
         self._followers = followers
 
--- a/src/wagtailpoint/discovery/watch_sharing.py
+++ b/src/wagtailpoint/discovery/watch_sharing.py
@@ -150,7 +150,7 @@
                 nursery.start_soon(self._ask, number)
             nursery.start_soon(self._expire)
 
-    def note_change(self) -> None:
+    def answer_waiting(self) -> None:
         """Tell those who wait; to be called after every change of what is followed."""
         for waiting in list(self._waiting):
             answer = self._news_for(waiting.received.message)
@@ -202,8 +202,8 @@
         """Begin or stop to watch."""
         watching = self._must_watch()
         for kind, follower in self._followers.items():
-            if follower.watching != watching:
-                follower.watching = watching
+            if follower.is_watching != watching:
+                follower.is_watching = watching
                 log_event("watching", kind=kind, itself=watching, version=follower.state.version)
 
     def _must_watch(self) -> bool:
--- a/src/wagtailpoint/lookup/blocks.py
+++ b/src/wagtailpoint/lookup/blocks.py
@@ -102,7 +102,7 @@
         bits, number = parse_address(address)
         return self._names[self._families[bits].ranges.find(number)] or None
 
-    def changed_to(self, blocks: Sequence[ClientBlock]) -> "ClientBlocks":
+    def with_blocks(self, blocks: Sequence[ClientBlock]) -> "ClientBlocks":
         """Return the table of other blocks, built from this one if few of them differ.
 
         Raises:
--- a/src/wagtailpoint/lookup/entry_choice.py
+++ b/src/wagtailpoint/lookup/entry_choice.py
@@ -9,13 +9,13 @@
 
 from wagtailpoint.membership.member import Member, by_capacity
 
-ORDER: Final = "entry"
+ENTRY_ORDER: Final = "entry"
 """Names the order by hashing of instances that are equally capable."""
 
-LEAST_ENTRIES: Final = 3
+MIN_ENTRIES: Final = 3
 """In a failure domain: the loss of one leaves two thirds of the callers undisturbed."""
 
-LEAST_ABLE_ENTRIES: Final = 2
+MIN_CAPABLE_ENTRIES: Final = 2
 ABLE_PART: Final = 0.5
 """Of the capacity of the most capable one. So many that have it will do instead: callers choose
 among the entries at random, and one that can do much less than the others answers late all that
@@ -28,7 +28,7 @@
 HEADROOM: Final = 3.0
 """The capacity of the entries, in times of what their load takes of it."""
 
-OVERLOADED: Final = 0.85
+OVERLOADED_LOAD: Final = 0.85
 """An instance with so much of its processor in use comes last. Where all are, all are entries."""
 
 RELIEF_ENDS: Final = 0.4
@@ -42,7 +42,9 @@
     All instances that see the same members choose the same ones, and a member that comes or goes
     changes the place of no other.
     """
-    ordered = sorted(members, key=lambda each: (each.load >= OVERLOADED, *by_capacity(each, ORDER)))
+    ordered = sorted(
+        members, key=lambda each: (each.load >= OVERLOADED_LOAD, *by_capacity(each, ENTRY_ORDER))
+    )
     total = sum(each.capacity for each in members)
     in_use = sum(each.load * each.capacity for each in members)
     wanted = max(LEAST_CAPACITY_PART * total, HEADROOM * in_use)
@@ -50,7 +52,7 @@
     capacity = 0.0
     for each in ordered:
         able = each.capacity >= ABLE_PART * ordered[0].capacity
-        least = LEAST_ENTRIES if able else LEAST_ABLE_ENTRIES
+        least = MIN_ENTRIES if able else MIN_CAPABLE_ENTRIES
         if len(chosen) >= least and capacity >= wanted:
             break
         chosen.append(each)
@@ -105,7 +107,7 @@
         """Whether the callers of a failure domain shall use others of its region, too."""
         if domain in self._relieved:
             return sum(each.load for each in entries) > RELIEF_ENDS * len(entries)
-        return all(each.load >= OVERLOADED for each in entries)
+        return all(each.load >= OVERLOADED_LOAD for each in entries)
 
     def nearest(self, failure_domain: str, region: str) -> Sequence[Member]:
         """The entries for a caller: of its failure domain, else of its region, else all.
@@ -119,10 +121,10 @@
         if not near:
             return in_region or self.all
         beside = (each for each in in_region if each.failure_domain != failure_domain)
-        return [*near, *(each for each in beside if each.load < OVERLOADED)]
+        return [*near, *(each for each in beside if each.load < OVERLOADED_LOAD)]
 
 
-class EntriesAround:
+class NearbyEntryCounts:
     """How many entries there are around one instance; implements ``placement.EntryCounts``."""
 
     def __init__(self, *, choice: EntryChoice, region: str, failure_domain: str) -> None:
--- a/src/wagtailpoint/lookup/table.py
+++ b/src/wagtailpoint/lookup/table.py
@@ -55,7 +55,7 @@
             ttl_s: How long callers may cache an answer, in seconds. A leaving entry is still
                 asked for that long.
             blocks: The table of these client blocks, if there is one (see
-                ``ClientBlocks.changed_to``), to save building it.
+                ``ClientBlocks.with_blocks``), to save building it.
             seed: The same on all instances, so that a caller is told the same entries by each.
         """
         self._config = config
--- a/src/wagtailpoint/placement/cold_senders.py
+++ b/src/wagtailpoint/placement/cold_senders.py
@@ -7,8 +7,8 @@
 import trio
 
 from wagtailpoint.discovery.entries import ServerStart
-from wagtailpoint.discovery.instance_count import REMEMBERED_S
-from wagtailpoint.lookup.entry_choice import LEAST_ENTRIES, ORDER
+from wagtailpoint.discovery.instance_count import PEAK_RETENTION_S
+from wagtailpoint.lookup.entry_choice import ENTRY_ORDER, MIN_ENTRIES
 from wagtailpoint.membership.member import Member, by_capacity
 from wagtailpoint.rendezvous import rendezvous_score
 
@@ -83,7 +83,7 @@
             self._newest[member.address] = member
             if member.state != "dead":
                 alive_at[member.address] = now
-        self._alive_at = _since(alive_at, now - REMEMBERED_S)
+        self._alive_at = _since(alive_at, now - PEAK_RETENTION_S)
         if self._alive_at.keys() != before:
             self._able = self._most_able()
 
@@ -100,7 +100,9 @@
         return frozenset(
             each.address
             for found in domains.values()
-            for each in sorted(found, key=lambda member: by_capacity(member, ORDER))[:LEAST_ENTRIES]
+            for each in sorted(found, key=lambda member: by_capacity(member, ENTRY_ORDER))[
+                :MIN_ENTRIES
+            ]
         )
 
 
--- a/src/wagtailpoint/placement/placement.py
+++ b/src/wagtailpoint/placement/placement.py
@@ -172,7 +172,7 @@
         # A full backend server that sheds does what it should; one with room is at fault.
         full = seen.report is not None and seen.report.running >= seen.report.slots
         load.note_answer(now, failed=seen.failed or (seen.shed and not full))
-        self._fleet.note_cold(entry.start, seen.cold_s)
+        self._fleet.record_cold(entry.start, seen.cold_s)
         if seen.failed or seen.shed:
             return
         service_s = max(0.001, seen.latency_s - round_trip_s)
--- a/tests/cover/test_entry_choice.py
+++ b/tests/cover/test_entry_choice.py
@@ -6,11 +6,11 @@
 
 from wagtailpoint.lookup.entry_choice import (
     HEADROOM,
-    LEAST_ABLE_ENTRIES,
-    LEAST_ENTRIES,
-    OVERLOADED,
-    EntriesAround,
+    MIN_CAPABLE_ENTRIES,
+    MIN_ENTRIES,
+    OVERLOADED_LOAD,
     EntryChoice,
+    NearbyEntryCounts,
     entries_among,
 )
 from wagtailpoint.membership.member import Member
@@ -49,20 +49,20 @@
         """
         chosen = entries_among(unequal(3, 20))
         self.assertEqual({each.capacity for each in chosen}, {LARGE})
-        self.assertEqual(len(chosen), LEAST_ENTRIES)
+        self.assertEqual(len(chosen), MIN_ENTRIES)
 
     def test_a_weak_third_is_not_named_beside_two_able_ones(self) -> None:
         """Guards against a third of the callers who are all answered late by the weakest entry."""
         chosen = entries_among(unequal(2, 10))
-        self.assertEqual([each.capacity for each in chosen], [LARGE] * LEAST_ABLE_ENTRIES)
-        self.assertEqual(len(entries_among(unequal(1, 2))), LEAST_ABLE_ENTRIES)
+        self.assertEqual([each.capacity for each in chosen], [LARGE] * MIN_CAPABLE_ENTRIES)
+        self.assertEqual(len(entries_among(unequal(1, 2))), MIN_CAPABLE_ENTRIES)
 
     def test_weak_ones_are_named_when_the_load_needs_them(self) -> None:
         busy = [each._replace(load=0.5) for each in unequal(2, 10)]
-        self.assertGreater(len(entries_among(busy)), LEAST_ENTRIES)
+        self.assertGreater(len(entries_among(busy)), MIN_ENTRIES)
 
     def test_small_deployments_use_all(self) -> None:
-        members = unequal(0, LEAST_ENTRIES)
+        members = unequal(0, MIN_ENTRIES)
         self.assertCountEqual(entries_among(members), members)
 
     def test_without_limits_in_the_settings_all_are_alike(self) -> None:
@@ -102,9 +102,9 @@
         settings, so callers would be sent there for as long as it is slow.
         """
         members = unequal(3, 20)
-        slowed = members[0]._replace(load=OVERLOADED)
+        slowed = members[0]._replace(load=OVERLOADED_LOAD)
         chosen = entries_among([slowed, *members[1:]])
-        self.assertNotIn(slowed, chosen[: LEAST_ENTRIES - 1])
+        self.assertNotIn(slowed, chosen[: MIN_ENTRIES - 1])
         self.assertEqual({each.capacity for each in chosen[:2]}, {LARGE})
 
 
@@ -122,7 +122,7 @@
         self.assertEqual(choice.nearest("a-3", "a"), [here, beside])
         self.assertEqual(choice.nearest("c-1", "c"), [here, beside, far])
         self.assertCountEqual(choice.all, [here, beside, far])
-        around = EntriesAround(choice=choice, region="a", failure_domain="a-2")
+        around = NearbyEntryCounts(choice=choice, region="a", failure_domain="a-2")
         self.assertEqual((around.everywhere, around.in_region, around.in_domain), (3, 2, 1))
 
     def test_overloaded_domain_shares_its_callers_with_the_region(self) -> None:
--- a/tests/cover/test_instances.py
+++ b/tests/cover/test_instances.py
@@ -9,8 +9,8 @@
 from trio.testing import MockClock
 
 from tests.common.fake_platform import FakePlatform
-from wagtailpoint.discovery.instance_count import CONVERGED_S, REMEMBERED_S, InstanceCount
-from wagtailpoint.discovery.lost_registrations import LOST_S, LostRegistrations
+from wagtailpoint.discovery.instance_count import CONVERGED_S, PEAK_RETENTION_S, InstanceCount
+from wagtailpoint.discovery.lost_registrations import LOST_S, LostRegistrationCleaner
 from wagtailpoint.discovery.registration import KIND
 from wagtailpoint.membership.member import Member, MemberState
 
@@ -56,7 +56,7 @@
             await trio.sleep(60.0)
             alive = 3
             self.assertEqual(count.value, 9)
-            await trio.sleep(REMEMBERED_S + 1)
+            await trio.sleep(PEAK_RETENTION_S + 1)
             self.assertEqual(count.value, 3)
 
         run(test)
@@ -80,7 +80,7 @@
         )
 
 
-class LostRegistrationsTest(unittest.TestCase):
+class LostRegistrationCleanerTest(unittest.TestCase):
     def setUp(self) -> None:
         logger.disable("wagtailpoint")
         self.addCleanup(logger.enable, "wagtailpoint")
@@ -99,7 +99,7 @@
                 await self.register(f"entry-{number}", address)
             async with trio.open_nursery() as nursery:
                 for view in self.views:
-                    cleaner = LostRegistrations(
+                    cleaner = LostRegistrationCleaner(
                         platform=self.platform,
                         membership=view,  # type: ignore[arg-type]
                         random=random.Random(1),
--- a/tests/cover/test_kind_follower.py
+++ b/tests/cover/test_kind_follower.py
@@ -42,7 +42,7 @@
         self.peers = FakePeerStates()
         self.seen: list[set[str]] = []
 
-    def run_with(self, test: Callable[[KindFollower], Awaitable[None]], lapses: bool = True):
+    def run_with(self, test: Callable[[KindFollower], Awaitable[None]], can_expire: bool = True):
         async def run() -> None:
             check = StoreCheck(store=self.platform, random=random.Random(1))
             follower = KindFollower(
@@ -52,7 +52,7 @@
                 check=check,
                 on_change=lambda: self.seen.append(set(follower.objects)),
                 random=random.Random(1),
-                lapses=lapses,
+                can_expire=can_expire,
             )
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(follower.run)
@@ -221,7 +221,7 @@
             await trio.sleep(2.0)
             self.assertNotIn("left", follower.objects)
 
-        self.run_with(test, lapses=False)
+        self.run_with(test, can_expire=False)
 
     def test_watches_that_are_all_unanswered_delay_no_change(self) -> None:
         """Guards against one unanswered watch that is replaced by another."""
@@ -236,15 +236,15 @@
                 await trio.sleep(2.0)
                 self.assertIn(f"new-{number}", follower.objects)
 
-        self.run_with(test, lapses=False)
+        self.run_with(test, can_expire=False)
 
     def test_fresh_start_without_the_store_learns_from_a_peer(self) -> None:
         async def test(follower: KindFollower) -> None:
-            self.assertFalse(follower.known)
+            self.assertFalse(follower.has_state)
             self.peers.told = PeerState(False, KindState(9, {"a": StoredObject(KIND, "a", 3, {})}))
             await trio.sleep(1.0)
             self.assertEqual(set(follower.objects), {"a"})
-            self.assertTrue(follower.known)
+            self.assertTrue(follower.has_state)
 
         self.platform.down = True
         self.run_with(test)
@@ -253,7 +253,7 @@
         """Guards against older objects under a newer version, which hide a change for good."""
 
         async def test(follower: KindFollower) -> None:
-            self.assertFalse(follower.known)
+            self.assertFalse(follower.has_state)
             self.platform.answer_stale()
             self.platform.list_delay_s = 1.0
             self.platform.set_down(False)
--- a/tests/cover/test_lookup.py
+++ b/tests/cover/test_lookup.py
@@ -88,7 +88,7 @@
                     if current.pop(network, None) is None or chance.random() < 0.3:
                         current[network] = chance.choice(sorted(REGIONS))
                 blocks = [ClientBlock(*item) for item in current.items()]
-                table = table.changed_to(blocks)
+                table = table.with_blocks(blocks)
                 anew = ClientBlocks(blocks=blocks)
                 for offset in range(0, 260):
                     for number in (offset, (1 << bits) - 1 - offset):
@@ -98,7 +98,7 @@
     def test_same_blocks_give_the_same_table(self) -> None:
         blocks = [ClientBlock("10.0.0.0/8", "kolkata")]
         table = ClientBlocks(blocks=blocks)
-        self.assertIs(table.changed_to(list(blocks)), table)
+        self.assertIs(table.with_blocks(list(blocks)), table)
 
     def test_mistakes_are_named(self) -> None:
         for network in ("10.0.0.0", "10.0.0.0/33", "10.0.0/8", "::/129"):
--- a/tests/cover/test_quarantine.py
+++ b/tests/cover/test_quarantine.py
@@ -14,7 +14,7 @@
 from tests.common.fake_platform import FakePlatform
 from tests.common.steering_parts import Told
 from wagtailpoint.discovery.entries import ServerStart
-from wagtailpoint.discovery.kind_state import KindState, state_of
+from wagtailpoint.discovery.kind_state import KindState, state_from_listing
 from wagtailpoint.fingerprint import fingerprint
 from wagtailpoint.ports.peers import PeerAddress
 from wagtailpoint.ports.platform import StoredObject
@@ -275,7 +275,7 @@
 
 
 async def state(platform: FakePlatform) -> KindState:
-    return state_of((await platform.list(kind=KIND)).unwrap())
+    return state_from_listing((await platform.list(kind=KIND)).unwrap())
 
 
 class QuarantineNewsTest(unittest.TestCase):
--- a/tests/cover/test_shared_bounds.py
+++ b/tests/cover/test_shared_bounds.py
@@ -5,7 +5,7 @@
 import trio
 from trio.testing import MockClock
 
-from wagtailpoint.discovery.bound_part import BoundPart
+from wagtailpoint.discovery.bound_share import BoundShare
 from wagtailpoint.discovery.entries import ServerStart
 from wagtailpoint.discovery.instance_count import InstanceCount
 from wagtailpoint.membership import Member
@@ -37,18 +37,18 @@
         self.assertTrue(budget.take("vault"))
 
 
-class BoundPartTest(unittest.TestCase):
+class BoundShareTest(unittest.TestCase):
     def parts(self, entries: int, instances: int) -> list[float]:
         """The parts of one bound that the instances spend; the first ones are entries."""
         found = []
         for number in range(instances):
-            part = BoundPart(
+            part = BoundShare(
                 instances=InstanceCount(alive=lambda: instances, registered=lambda: instances),
                 entries=InstanceCount(alive=lambda: entries, registered=lambda: 1),
                 is_entry=lambda number=number: number < entries,  # type: ignore[misc]
             )
 
-            async def test(part: BoundPart = part) -> None:
+            async def test(part: BoundShare = part) -> None:
                 _ = part.divisor
                 await trio.sleep(60)
                 found.append(1 / part.divisor)
--- a/tests/cover/test_watch_sharing.py
+++ b/tests/cover/test_watch_sharing.py
@@ -55,7 +55,7 @@
             check=self.check,
             on_change=self._changed,
             random=random.Random(1),
-            lapses=True,
+            can_expire=True,
             watching=False,
         )
         self.sharing = WatchSharing(
@@ -69,7 +69,7 @@
         """No peer knows more when the store is away; ``PeerStates``."""
 
     def _changed(self) -> None:
-        self.sharing.note_change()
+        self.sharing.answer_waiting()
 
     async def run(self) -> None:
         async with trio.open_nursery() as nursery:
@@ -95,7 +95,7 @@
 
     @property
     def watchers(self) -> list[Sharer]:
-        return [each for each in self.sharers if each.follower.watching]
+        return [each for each in self.sharers if each.follower.is_watching]
 
     def run_with(
         self, test: Callable[[], Awaitable[None]], *, settle_s: float = WATCH_WAIT_S + 3.0
@@ -189,7 +189,7 @@
                 first.own, WatchQuestion(versions), timeout_s=BOUND_S
             )
             self.assertTrue(answered.unwrap().watches)
-            self.assertTrue(first.follower.watching)
+            self.assertTrue(first.follower.is_watching)
             await self.put("new")
             await trio.sleep(AT_ONCE_S)
             self.assertIn("new", first.follower.objects)
--- a/tests/integration/test_steering_group.py
+++ b/tests/integration/test_steering_group.py
@@ -11,7 +11,7 @@
 from tests.common.steering_group import Instance, all_serve, steering_group, until
 from tests.common.users_store import UsersStore
 from wagtailpoint.discovery.watch_sharing import ALL_WATCH, watchers_among
-from wagtailpoint.lookup.entry_choice import LEAST_ENTRIES
+from wagtailpoint.lookup.entry_choice import MIN_ENTRIES
 
 LIMIT_S = 90
 INSTANCES = 8
@@ -90,7 +90,7 @@
             async def the_same_living_are_named() -> bool:
                 named = {frozenset(await each.named()) for each in left}
                 return len(named) == 1 and all(
-                    len(each) == LEAST_ENTRIES and each <= alive for each in named
+                    len(each) == MIN_ENTRIES and each <= alive for each in named
                 )
 
             await until(the_same_living_are_named, GONE_S, "lookups name the same few who live")
--- a/tests/nocover/test_follower_faults.py
+++ b/tests/nocover/test_follower_faults.py
@@ -131,7 +131,7 @@
             random=random,
             watching=False,
         )
-        exchange.answer_for({KIND: self.follower})
+        exchange.set_followers({KIND: self.follower})
         self.sharing = WatchSharing(
             peers=self.peers,
             membership=membership,
@@ -178,7 +178,7 @@
         if state.objects != self._store.states[state.version]:
             self.mistakes.append(f"version {state.version} with other objects than the store's")
         self._newest = state.version
-        self.sharing.note_change()
+        self.sharing.answer_waiting()
 
 
 class World:
--- a/tests/nocover/test_quarantine_schedules.py
+++ b/tests/nocover/test_quarantine_schedules.py
@@ -17,7 +17,7 @@
 from tests.common.fake_platform import FakePlatform
 from tests.common.object_store import ObjectStore
 from wagtailpoint.discovery.entries import ServerStart
-from wagtailpoint.discovery.kind_state import state_of
+from wagtailpoint.discovery.kind_state import state_from_listing
 from wagtailpoint.ports.peers import PeerAddress
 from wagtailpoint.quarantine.news import QuarantineNews
 from wagtailpoint.quarantine.quarantine import Admission, CrashReport, Quarantine
@@ -86,7 +86,7 @@
             while True:
                 listing = await self.platform.list(kind=KIND)
                 if listing.is_ok():
-                    stored.take(state_of(listing.unwrap()))
+                    stored.take(state_from_listing(listing.unwrap()))
                 await trio.sleep(FOLLOW_S)
 
 
