--- a/bench/capacity_group.py
+++ b/bench/capacity_group.py
@@ -74,10 +74,10 @@
     async def story(group: MemberGroup) -> None:
         for number in range(1, count + 1):
             group.start(f"127.0.{number // 250}.{number % 250 + 1}")
-        await group.until(lambda: group.all_see_all("live"), within_s=120)
+        await group.wait_until(lambda: group.all_see_all("live"), within_s=120)
         first = next(iter(group.instances.values()))
         first.offer(_snapshot(1))
-        await group.until(lambda: _all_know(group, 1), within_s=120)
+        await group.wait_until(lambda: _all_know(group, 1), within_s=120)
         await trio.sleep(5)
 
         before = _sent(group)
@@ -85,10 +85,10 @@
         idle = _sent(group)
         first.offer(_snapshot(2))
         changed_at = trio.current_time()
-        has_s = await group.until(
+        has_s = await group.wait_until(
             lambda: all(each.versions[-1] == 2 for each in group.instances.values())
         )
-        await group.until(lambda: _all_know(group, 2), within_s=120)
+        await group.wait_until(lambda: _all_know(group, 2), within_s=120)
         told_s = trio.current_time() - changed_at
         await trio.sleep(max(0.0, IDLE_S - told_s))
         after = _sent(group)
@@ -127,7 +127,7 @@
         cut_bytes_s = (_sent(group).bytes - before.bytes) / (trio.current_time() - began_at) / count
         healed_at, before = trio.current_time(), _sent(group)
         group.network.heal()
-        await group.until(lambda: group.all_see_all("live"), within_s=120)
+        await group.wait_until(lambda: group.all_see_all("live"), within_s=120)
         healed_s = trio.current_time() - healed_at
         healing = (_sent(group).bytes - before.bytes) / count
         lines.append(
--- a/bench/capacity_instance.py
+++ b/bench/capacity_instance.py
@@ -28,10 +28,10 @@
 from wagtailpoint.config.packed import pack
 from wagtailpoint.config.store import ConfigStore
 from wagtailpoint.membership.config_delta import (
+    add_content_hashes,
     apply_delta,
-    digest_of,
+    compute_digest,
     encode_delta,
-    with_hashes,
 )
 
 LIMIT_S = 60.0
@@ -216,11 +216,11 @@
 def measure_replacement(count: int, *, regions: int) -> str:
     """What a replacement's full configuration costs: the peer that gives it, and itself."""
     objects = {key: pack(value) for key, value in _objects(count, regions=regions).items()}
-    snapshot = with_hashes(Snapshot(ChangeInfo(1, "c1", "bench", 0.0, ""), objects))
+    snapshot = add_content_hashes(Snapshot(ChangeInfo(1, "c1", "bench", 0.0, ""), objects))
     began = time.perf_counter()
     data = encode_delta(snapshot, frozenset(objects))
     encoded = time.perf_counter()
-    digest = digest_of(snapshot.content_hashes)
+    digest = compute_digest(snapshot.content_hashes)
     apply_delta(None, data, change=snapshot.change, digest=digest)
     applied = time.perf_counter()
     return (
--- a/bench/moves.py
+++ b/bench/moves.py
@@ -122,8 +122,8 @@
             ),
             lease_s=LEASE_S,
             own=self.address,
-            eligible=lambda: True,
-            receiving=lambda _: (len(self.config.services["desk"].groups["new"]), 0),
+            is_eligible=lambda: True,
+            count_receiving_servers=lambda _: (len(self.config.services["desk"].groups["new"]), 0),
         )
 
 
@@ -173,9 +173,9 @@
 
     def _tell(self, each: _Instance, other: _Instance) -> None:
         for name, progress in each.board.progresses.items():
-            other.board.learn(progress)
+            other.board.apply_progress(progress)
             if other.address == progress.writer and each is not other:
-                other.board.take_report(
+                other.board.apply_report(
                     sender=each.address.address,
                     move=name,
                     version=progress.version,
--- a/src/wagtailpoint/daemon/moving.py
+++ b/src/wagtailpoint/daemon/moving.py
@@ -11,7 +11,7 @@
 from wagtailpoint.health.board import HealthBoard
 from wagtailpoint.membership import Membership
 from wagtailpoint.moves.board import MoveBoard
-from wagtailpoint.moves.news import MoveNewsroom
+from wagtailpoint.moves.gossip import MoveGossip
 from wagtailpoint.moves.writer import MoveWriter, ProgressCleaner, WriterLease
 from wagtailpoint.ports.clock import Clock
 from wagtailpoint.ports.peers import Peers
@@ -56,12 +56,12 @@
         self._interval_s = timings.move_interval_s
         self._config: EffectiveConfig | None = None
         self._board = board
-        self._newsroom = MoveNewsroom(
+        self._newsroom = MoveGossip(
             platform=platform,
             peers=peers,
             board=board,
             others=self._membership.others,
-            watching=watching,
+            is_watching=watching,
             wait_s=timings.watch_wait_s,
             random=Random(),
         )
@@ -72,11 +72,11 @@
             lease=lease,
             lease_s=timings.moves_lease_s,
             own=peers.address,
-            eligible=lambda: watching() and membership.own.state == "live",
-            receiving=self._receiving,
+            is_eligible=lambda: watching() and membership.own.state == "live",
+            count_receiving_servers=self._receiving,
         )
         self._cleaner = ProgressCleaner(
-            platform=platform, board=board, writing=lambda: self._writer.writing
+            platform=platform, board=board, is_writing=lambda: self._writer.is_writing
         )
 
     def apply(self, config: EffectiveConfig) -> None:
--- a/src/wagtailpoint/daemon/servers.py
+++ b/src/wagtailpoint/daemon/servers.py
@@ -99,7 +99,7 @@
     ) -> None:
         """Take note of how an exchange ended."""
         self._health.observe_outcome(server.address, outcome_of(answered), latency_s)
-        self._moves.note(server.address, answered, latency_s)
+        self._moves.record_exchange(server.address, answered, latency_s)
         name = str(server.address)
         if isinstance(answered, BackendFailure):
             self._metrics.count(f"backend-failure.{name}.{answered.reason}")
@@ -160,7 +160,7 @@
     def taken(self, server: BackendServer) -> None:
         """Count it against the cap of a move, in the step that takes the slot."""
         if self._route is not None:
-            self._route.taken(server.address)
+            self._route.record_slot_taken(server.address)
 
 
 def is_drained(server: BackendServer, drains: Iterable[Drain]) -> bool:
--- a/src/wagtailpoint/daemon/shared_quarantine.py
+++ b/src/wagtailpoint/daemon/shared_quarantine.py
@@ -8,7 +8,7 @@
 
 from wagtailpoint.discovery.kind_state import KindState, state_from_listing
 from wagtailpoint.membership import Membership
-from wagtailpoint.membership.duty import has_duty
+from wagtailpoint.membership.responsibility import is_responsible
 from wagtailpoint.observe.log import log_event
 from wagtailpoint.ports.peers import Peers
 from wagtailpoint.ports.platform import Platform
@@ -42,7 +42,7 @@
         self._stored = StoredQuarantine(
             platform=platform,
             quarantine=self._local,
-            has_duty=lambda: has_duty(membership, "quarantine"),
+            has_duty=lambda: is_responsible(membership, "quarantine"),
             random=random,
         )
 
--- a/src/wagtailpoint/daemon/steering.py
+++ b/src/wagtailpoint/daemon/steering.py
@@ -387,7 +387,7 @@
             await self._dispatcher.wait_idle()
         if scope.cancelled_caught:
             log_event("stop-cuts", level="ERROR", open_requests=self._dispatcher.open_requests)
-        self._membership.farewell()
+        self._membership.announce_exit()
 
 
 async def run_steering_instance(settings: NodeSettings, settings_file: Path) -> None:
--- a/src/wagtailpoint/daemon/stopping.py
+++ b/src/wagtailpoint/daemon/stopping.py
@@ -66,5 +66,5 @@
             # The platform may be out; what could not be given back ends with its lease.
             with trio.move_on_after(DUTY_TIMEOUT_S):
                 await duty()
-        self._membership.farewell()
+        self._membership.announce_exit()
         log_event("stopped")
--- a/src/wagtailpoint/discovery/lost_registrations.py
+++ b/src/wagtailpoint/discovery/lost_registrations.py
@@ -9,7 +9,7 @@
 
 from wagtailpoint.discovery.registration import KIND, read_registered
 from wagtailpoint.membership import Membership
-from wagtailpoint.membership.duty import has_duty
+from wagtailpoint.membership.responsibility import is_responsible
 from wagtailpoint.observe.log import log_event
 from wagtailpoint.ports.platform import Platform
 
@@ -45,7 +45,7 @@
         while True:
             await trio.sleep(LOOK_INTERVAL_S * self._random.uniform(0.8, 1.2))
             lost = self._lost()
-            if lost and has_duty(self._membership, "cleaner"):
+            if lost and is_responsible(self._membership, "cleaner"):
                 await self._remove(lost)
 
     def _lost(self) -> Collection[str]:
--- a/src/wagtailpoint/discovery/watch_sharing.py
+++ b/src/wagtailpoint/discovery/watch_sharing.py
@@ -15,7 +15,7 @@
 from wagtailpoint.discovery.freshness import Freshness, PeerProof
 from wagtailpoint.discovery.history import KindChanges
 from wagtailpoint.membership import Membership
-from wagtailpoint.membership.member import Member, by_capacity
+from wagtailpoint.membership.member import Member, capacity_sort_key
 from wagtailpoint.observe.log import log_event
 from wagtailpoint.ports.peers import PeerAddress, Peers, Received, register_message
 from wagtailpoint.rendezvous import rendezvous_score
@@ -305,5 +305,5 @@
 
     The most capable come first: after a restart of all each watcher tells dozens everything.
     """
-    live = [member for member in members if member.region == region and member.serves]
-    return sorted(live, key=lambda member: by_capacity(member, "watcher"))
+    live = [member for member in members if member.region == region and member.is_serving]
+    return sorted(live, key=lambda member: capacity_sort_key(member, "watcher"))
--- a/src/wagtailpoint/limits/allowance_slots.py
+++ b/src/wagtailpoint/limits/allowance_slots.py
@@ -20,7 +20,7 @@
     holder_from_value,
 )
 from wagtailpoint.membership import Membership
-from wagtailpoint.membership.member import Member, by_capacity
+from wagtailpoint.membership.member import Member, capacity_sort_key
 from wagtailpoint.observe.log import log_event
 from wagtailpoint.ports.clock import Clock
 from wagtailpoint.ports.peers import PeerAddress
@@ -143,8 +143,8 @@
         if not self._settled and slot.name in self._held_before:
             # Asked before the others are known: after a restart of all it is back about now.
             return self._held_before[slot.name]
-        in_region = (each for each in members if each.serves and each.region == slot.region)
-        best = min(in_region, key=lambda each: by_capacity(each, slot.name), default=None)
+        in_region = (each for each in members if each.is_serving and each.region == slot.region)
+        best = min(in_region, key=lambda each: capacity_sort_key(each, slot.name), default=None)
         return best.peer_address if best is not None else None
 
     async def run(self) -> None:
--- a/src/wagtailpoint/lookup/entry_choice.py
+++ b/src/wagtailpoint/lookup/entry_choice.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Final
 
-from wagtailpoint.membership.member import Member, by_capacity
+from wagtailpoint.membership.member import Member, capacity_sort_key
 
 ENTRY_ORDER: Final = "entry"
 """Names the order by hashing of instances that are equally capable."""
@@ -43,7 +43,8 @@
     changes the place of no other.
     """
     ordered = sorted(
-        members, key=lambda each: (each.load >= OVERLOADED_LOAD, *by_capacity(each, ENTRY_ORDER))
+        members,
+        key=lambda each: (each.load >= OVERLOADED_LOAD, *capacity_sort_key(each, ENTRY_ORDER)),
     )
     total = sum(each.capacity for each in members)
     in_use = sum(each.load * each.capacity for each in members)
@@ -152,6 +153,6 @@
 def _entries_by_domain(members: Sequence[Member]) -> Mapping[str, Sequence[Member]]:
     live: dict[str, list[Member]] = {}
     for member in members:
-        if member.serves:
+        if member.is_serving:
             live.setdefault(member.failure_domain, []).append(member)
     return {domain: entries_among(found) for domain, found in live.items()}
--- a/src/wagtailpoint/membership/config_delta.py
+++ b/src/wagtailpoint/membership/config_delta.py
@@ -43,14 +43,14 @@
 _decoder = msgspec.json.Decoder(_WireDelta)
 
 
-def with_hashes(snapshot: Snapshot) -> Snapshot:
+def add_content_hashes(snapshot: Snapshot) -> Snapshot:
     """Fill in the hashes of objects that a snapshot came without."""
     known = snapshot.content_hashes
     hashes = {key: known.get(key) or hash_of(value) for key, value in snapshot.objects.items()}
     return snapshot._replace(content_hashes=hashes)
 
 
-def digest_of(hashes: Mapping[str, str]) -> bytes:
+def compute_digest(hashes: Mapping[str, str]) -> bytes:
     """Return a digest of a whole configuration."""
     lines = "\n".join(f"{key} {hashes[key]}" for key in sorted(hashes))
     return hashlib.sha256(lines.encode()).digest()
@@ -85,7 +85,7 @@
     for key, raw in delta.puts.items():
         objects[key] = pack(msgspec.json.decode(raw))
         hashes[key] = hash_of(objects[key])
-    if digest_of(hashes) != digest:
+    if compute_digest(hashes) != digest:
         raise BrokenDelta(f"version {change.version} is not whole after its delta was applied")
     return Snapshot(change=change, objects=objects, content_hashes=hashes)
 
--- a/src/wagtailpoint/membership/config_spread.py
+++ b/src/wagtailpoint/membership/config_spread.py
@@ -17,10 +17,10 @@
 from wagtailpoint.membership.config_delta import (
     BrokenDelta,
     DeltaHistory,
+    add_content_hashes,
     apply_delta,
-    digest_of,
+    compute_digest,
     encode_delta,
-    with_hashes,
 )
 from wagtailpoint.membership.config_messages import ConfigAsk, ConfigHave, ConfigPart
 from wagtailpoint.membership.service import Membership
@@ -106,7 +106,7 @@
         """Take in what was read from the platform and tell the others; False if it is not newer."""
         if snapshot.change.version <= self._version:
             return False
-        self._accept(with_hashes(snapshot))
+        self._accept(add_content_hashes(snapshot))
         return True
 
     async def run(self) -> None:
@@ -244,4 +244,4 @@
         if changed is None:
             from_version, changed = 0, frozenset(current.objects)
         data = encode_delta(current, changed)
-        return _Encoded(current.change, from_version, digest_of(current.content_hashes), data)
+        return _Encoded(current.change, from_version, compute_digest(current.content_hashes), data)
--- a/src/wagtailpoint/membership/member.py
+++ b/src/wagtailpoint/membership/member.py
@@ -8,7 +8,7 @@
 
 MemberState = Literal["starting", "live", "leaving", "dead"]
 
-MOST_CAPACITY: Final = 10_000.0
+MAX_CAPACITY: Final = 10_000.0
 """In processor cores; no instance has more."""
 
 
@@ -54,7 +54,7 @@
     @property
     def is_possible(self) -> bool:
         """Whether its figures can be true; others would spoil every decision made by them."""
-        return 0.0 <= self.load <= 1.0 and 0.0 < self.capacity <= MOST_CAPACITY
+        return 0.0 <= self.load <= 1.0 and 0.0 < self.capacity <= MAX_CAPACITY
 
     @property
     def peer_address(self) -> PeerAddress:
@@ -100,7 +100,7 @@
     capacity: float = 1.0
 
     @property
-    def serves(self) -> bool:
+    def is_serving(self) -> bool:
         """Whether it takes requests, and nobody doubts that it lives."""
         return self.state == "live" and not self.suspect
 
@@ -110,7 +110,7 @@
         return PeerAddress(self.address, self.peer_port, self.incarnation)
 
 
-def by_capacity(member: Member, purpose: str) -> tuple[float, int]:
+def capacity_sort_key(member: Member, purpose: str) -> tuple[float, int]:
     """Orders members: the most capable first, equal ones by a hash for the purpose."""
     return (-member.capacity, rendezvous_score(purpose, member.address))
 
--- a/src/wagtailpoint/membership/duty.py
+++ b/src/wagtailpoint/membership/responsibility.py
@@ -4,8 +4,8 @@
 from wagtailpoint.rendezvous import rendezvous_score
 
 
-def has_duty(membership: Membership, duty: str) -> bool:
+def is_responsible(membership: Membership, task: str) -> bool:
     """Whether it is this instance: one, for all that see the same members live."""
     live = [each.address for each in membership.members() if each.state == "live"]
     own = membership.own.address
-    return max(live, key=lambda each: rendezvous_score(duty, each), default="") == own
+    return max(live, key=lambda each: rendezvous_score(task, each), default="") == own
--- a/src/wagtailpoint/membership/service.py
+++ b/src/wagtailpoint/membership/service.py
@@ -146,7 +146,7 @@
         """Tell the others that this instance takes no more work; it goes on answering them."""
         self.publish(state="leaving")
 
-    def farewell(self) -> None:
+    def announce_exit(self) -> None:
         """Tell a few others at once that this process ends now, so that no suspicion is needed."""
         self.publish(state="dead")
         self._teller.push(self._settings.push_fanout * 2)
--- a/src/wagtailpoint/moves/board.py
+++ b/src/wagtailpoint/moves/board.py
@@ -116,7 +116,7 @@
             name: known for name, known in self._progresses.items() if name in self._moves
         }
 
-    def learn(self, progress: MoveProgress) -> bool:
+    def apply_progress(self, progress: MoveProgress) -> bool:
         """Take in a progress from the platform or a peer; False if it is not news."""
         moved = self._moves.get(progress.move)
         known = self._progresses.get(progress.move)
@@ -162,7 +162,7 @@
         """What this instance saw of a move of late."""
         return self._moves[name].window.sum()
 
-    def take_report(self, *, sender: str, move: str, version: int, evidence: Evidence) -> None:
+    def apply_report(self, *, sender: str, move: str, version: int, evidence: Evidence) -> None:
         """Take in a peer's report; one made under another progress is dropped."""
         moved, known = self._moves.get(move), self._progresses.get(move)
         if moved is not None and known is not None and known.version == version:
@@ -175,7 +175,7 @@
             return None
         return MoveRoute(board=self, moved=moved, affinity=affinity)
 
-    def note(
+    def record_exchange(
         self, server: BackendAddress, answered: BackendResponse | BackendFailure, latency_s: float
     ) -> None:
         """Take note of how an exchange ended, whichever workspace it was for."""
@@ -255,7 +255,7 @@
         self._over_cap = wanted is not None and not self._moved.allowance.room(most)
         return None if self._over_cap else wanted
 
-    def taken(self, server: BackendAddress) -> None:
+    def record_slot_taken(self, server: BackendAddress) -> None:
         """A slot was taken, in the same step as ``to_group`` was asked for."""
         if server in self._moved.new_servers:
             self._moved.allowance.spend(self._board.allowance(self._moved.move.name))
--- a/src/wagtailpoint/moves/news.py
+++ b/src/wagtailpoint/moves/gossip.py
@@ -26,7 +26,7 @@
 RETRY_S: Final = 1.0
 
 
-class MoveNewsroom:
+class MoveGossip:
     """Follows the progress of moves and passes it on."""
 
     def __init__(
@@ -36,7 +36,7 @@
         peers: Peers,
         board: MoveBoard,
         others: Callable[[], Sequence[PeerAddress]],
-        watching: Callable[[], bool],
+        is_watching: Callable[[], bool],
         wait_s: float,
         random: Random,
     ) -> None:
@@ -47,7 +47,7 @@
             peers: Carry news and reports.
             board: Takes the news.
             others: The other instances that are not known to be dead.
-            watching: Whether this instance watches; a few of each failure domain do.
+            is_watching: Whether this instance watches; a few of each failure domain do.
             wait_s: The longest wait of one watch, in seconds.
             random: Chooses whom to tell.
         """
@@ -55,7 +55,7 @@
         self._peers = peers
         self._board = board
         self._others = others
-        self._watching = watching
+        self._is_watching = is_watching
         self._wait_s = wait_s
         self._random = random
         peers.handle(MoveNews, self._on_news)
@@ -79,7 +79,7 @@
     async def _watch(self) -> None:
         version: int | None = None
         while True:
-            if not self._board.moves or not self._watching():
+            if not self._board.moves or not self._is_watching():
                 version = None
                 await trio.sleep(LOOK_S)
                 continue
@@ -109,7 +109,7 @@
         for stored in objects:
             progress = read_progress(stored)
             if isinstance(progress, Ok):
-                learnt |= self._board.learn(progress.ok_value)
+                learnt |= self._board.apply_progress(progress.ok_value)
             else:
                 log_event(
                     "move-progress-unreadable", level="ERROR", mistake=repr(progress.err_value)
@@ -133,13 +133,13 @@
 
     def _on_news(self, received: Received) -> None:
         news: MoveNews = received.message
-        learnt = [self._board.learn(progress) for progress in news.progresses]
+        learnt = [self._board.apply_progress(progress) for progress in news.progresses]
         if any(learnt):
             self.tell(FANOUT)
 
     def _on_report(self, received: Received) -> None:
         report: MoveReport = received.message
-        self._board.take_report(
+        self._board.apply_report(
             sender=received.sender.address,
             move=report.move,
             version=report.version,
--- a/src/wagtailpoint/moves/writer.py
+++ b/src/wagtailpoint/moves/writer.py
@@ -59,8 +59,8 @@
         lease: WriterLease,
         lease_s: float,
         own: PeerAddress,
-        eligible: Callable[[], bool],
-        receiving: Callable[[Move], tuple[int, int]],
+        is_eligible: Callable[[], bool],
+        count_receiving_servers: Callable[[Move], tuple[int, int]],
     ) -> None:
         """Make it without the lease.
 
@@ -71,10 +71,11 @@
             lease: Makes this process the only writer.
             lease_s: Its length in seconds.
             own: Where this instance hears its peers' reports.
-            eligible: Whether this instance may try to write: a few of each failure domain do, so
-                that the platform's rates do not grow with the fleet.
-            receiving: Counts the backend servers of a move's receiving side that take new work,
-                and those of them that report cold caches.
+            is_eligible: Whether this instance may try to become the writer. Only a few instances
+                of each failure domain do, so that the load on the platform does not grow with the
+                number of instances.
+            count_receiving_servers: Counts the backend servers of a move's receiving side that
+                accept new work, and how many of those report cold caches.
         """
         self._platform = platform
         self._clock = clock
@@ -82,14 +83,14 @@
         self._lease = lease
         self._renew_s = lease_s / STEPS_PER_LEASE
         self._own = own
-        self._eligible = eligible
-        self._receiving = receiving
+        self._is_eligible = is_eligible
+        self._count_receiving_servers = count_receiving_servers
         self._asked_at = float("-inf")
         self._has_read = False
         self._writes = itertools.count(1)
 
     @property
-    def writing(self) -> bool:
+    def is_writing(self) -> bool:
         """Whether this instance is the writer."""
         return self._has_read and self._lease.held()
 
@@ -101,7 +102,7 @@
 
     async def step(self) -> None:
         """Look after the lease, and advance each move that is due."""
-        if not self._board.moves or not self._eligible():
+        if not self._board.moves or not self._is_eligible():
             await self._stand_back()
             return
         now = self._clock.monotonic()
@@ -140,7 +141,7 @@
         return True
 
     async def _advance(self, move: Move) -> None:
-        servers, cold = self._receiving(move)
+        servers, cold = self._count_receiving_servers(move)
         known = Known(
             receiving=Receiving(self._board.evidence(move.name), servers, cold),
             held_s=self._board.held_s(move.name),
@@ -173,7 +174,7 @@
     def _learn(self, stored: StoredObject) -> None:
         progress = read_progress(stored)
         if isinstance(progress, Ok):
-            self._board.learn(progress.ok_value)
+            self._board.apply_progress(progress.ok_value)
         else:
             log_event("move-progress-unreadable", level="ERROR", mistake=repr(progress.err_value))
 
@@ -182,11 +183,11 @@
     """Deletes the progress of moves that are no longer planned."""
 
     def __init__(
-        self, *, platform: Platform, board: MoveBoard, writing: Callable[[], bool]
+        self, *, platform: Platform, board: MoveBoard, is_writing: Callable[[], bool]
     ) -> None:
         self._platform = platform
         self._board = board
-        self._writing = writing
+        self._is_writing = is_writing
         self._seen: set[tuple[str, int]] = set()
 
     async def step(self) -> None:
@@ -194,7 +195,7 @@
 
         Twice, because the configuration of this instance may be a little older than the progress.
         """
-        if not self._writing():
+        if not self._is_writing():
             return
         listing = await self._platform.list(kind=PROGRESS_KIND)
         if isinstance(listing, Err):
--- a/src/wagtailpoint/placement/cold_senders.py
+++ b/src/wagtailpoint/placement/cold_senders.py
@@ -9,7 +9,7 @@
 from wagtailpoint.discovery.entries import ServerStart
 from wagtailpoint.discovery.instance_count import PEAK_RETENTION_S
 from wagtailpoint.lookup.entry_choice import ENTRY_ORDER, MIN_ENTRIES
-from wagtailpoint.membership.member import Member, by_capacity
+from wagtailpoint.membership.member import Member, capacity_sort_key
 from wagtailpoint.rendezvous import rendezvous_score
 
 LOOK_INTERVAL_S: Final = 0.1
@@ -100,7 +100,7 @@
         return frozenset(
             each.address
             for found in domains.values()
-            for each in sorted(found, key=lambda member: by_capacity(member, ENTRY_ORDER))[
+            for each in sorted(found, key=lambda member: capacity_sort_key(member, ENTRY_ORDER))[
                 :MIN_ENTRIES
             ]
         )
--- a/src/wagtailpoint/platform/settings.py
+++ b/src/wagtailpoint/platform/settings.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from wagtailpoint.errors import InvalidInput, Mistake
-from wagtailpoint.membership.member import MOST_CAPACITY
+from wagtailpoint.membership.member import MAX_CAPACITY
 from wagtailpoint.node_settings import Endpoint, NodeSettings, ServiceBounds
 
 SETTINGS_VARIABLE = "WAGTAILPOINT_NODE_FILE"
@@ -23,8 +23,8 @@
 class _Limits(msgspec.Struct):
     MaxFds: int
     # The part of a core that the process gets, of cores that are ``CpuCores`` times as fast.
-    CpuShare: Annotated[float, msgspec.Meta(gt=0, le=MOST_CAPACITY)] = 1.0
-    CpuCores: Annotated[float, msgspec.Meta(gt=0, le=MOST_CAPACITY)] = 1.0
+    CpuShare: Annotated[float, msgspec.Meta(gt=0, le=MAX_CAPACITY)] = 1.0
+    CpuCores: Annotated[float, msgspec.Meta(gt=0, le=MAX_CAPACITY)] = 1.0
     LinkMbps: Annotated[float, msgspec.Meta(gt=0)] | None = None
 
 
@@ -168,4 +168,4 @@
     cores = limits.CpuShare * limits.CpuCores
     if limits.LinkMbps is not None:
         cores = min(cores, limits.LinkMbps / LINK_MBPS_PER_CORE)
-    return min(cores, MOST_CAPACITY)
+    return min(cores, MAX_CAPACITY)
--- a/tests/common/fixed_membership.py
+++ b/tests/common/fixed_membership.py
@@ -7,22 +7,22 @@
 class FixedMembership:
     """All instances of one region, alive, as all of them see it."""
 
-    def __init__(self, *, places: list[PeerAddress], own: PeerAddress) -> None:
+    def __init__(self, *, addresses: list[PeerAddress], own: PeerAddress) -> None:
         self._members = tuple(
             Member(
-                address=place.address,
+                address=peer.address,
                 port=80,
-                peer_port=place.port,
+                peer_port=peer.port,
                 region="a",
                 failure_domain="a-1",
-                incarnation=place.incarnation,
+                incarnation=peer.incarnation,
                 epoch=1,
                 state="live",
                 suspect=False,
                 config_version=1,
                 load=0.0,
             )
-            for place in places
+            for peer in addresses
         )
         self.own = next(each for each in self._members if each.address == own.address)
 
--- a/tests/common/member_group.py
+++ b/tests/common/member_group.py
@@ -125,7 +125,7 @@
         for number in range(1, count + 1):
             region = REGIONS[(number - 1) * len(REGIONS) // count]
             self.start(f"127.0.0.{number}", region=region)
-        await self.until(lambda: self.all_see_all("live"))
+        await self.wait_until(lambda: self.all_see_all("live"))
 
     def all_see_all(self, state: str) -> bool:
         return all(
@@ -142,7 +142,7 @@
             if instance.address != address
         )
 
-    async def until(self, condition: Callable[[], bool], *, within_s: float = 30) -> float:
+    async def wait_until(self, condition: Callable[[], bool], *, within_s: float = 30) -> float:
         """Wait for a condition; return how long it took, in seconds."""
         started_at = trio.current_time()
         for _ in range(int(within_s / POLL_S)):
--- a/tests/cover/test_config_spread.py
+++ b/tests/cover/test_config_spread.py
@@ -13,10 +13,10 @@
 from wagtailpoint.membership.config_delta import (
     BrokenDelta,
     DeltaHistory,
+    add_content_hashes,
     apply_delta,
-    digest_of,
+    compute_digest,
     encode_delta,
-    with_hashes,
 )
 
 
@@ -28,7 +28,7 @@
 class DeltaTest(unittest.TestCase):
     def setUp(self) -> None:
         self.versions = [
-            with_hashes(snapshot)
+            add_content_hashes(snapshot)
             for snapshot in (
                 make_snapshot(1, a=1, b={"x": [1.5, None]}),
                 make_snapshot(2, a=2, b={"x": [1.5, None]}),
@@ -48,7 +48,7 @@
                 base,
                 encode_delta(newest, changed),
                 change=newest.change,
-                digest=digest_of(newest.content_hashes),
+                digest=compute_digest(newest.content_hashes),
             )
             self.assertEqual(made, newest)
 
@@ -65,7 +65,7 @@
         """
         newest = self.versions[-1]
         data = encode_delta(newest, frozenset({"workspace/c"}))
-        digest = digest_of(newest.content_hashes)
+        digest = compute_digest(newest.content_hashes)
         for broken in (data, data[:-9], b"", b"nonsense"):
             with self.assertRaises(BrokenDelta):
                 apply_delta(self.versions[0], broken, change=newest.change, digest=digest)
@@ -81,7 +81,7 @@
             self.assertEqual(instance.versions, sorted(set(instance.versions)))
 
     async def until_all_have(self, group: MemberGroup, version: int) -> float:
-        return await group.until(
+        return await group.wait_until(
             lambda: all(i.versions[-1:] == [version] for i in group.instances.values())
         )
 
@@ -159,7 +159,7 @@
             for instance in group.instances.values():
                 instance.spread.offer(make_snapshot(1, a=1))
             late = group.start("127.0.0.4")
-            await group.until(lambda: late.versions == [1])
+            await group.wait_until(lambda: late.versions == [1])
 
         run_group(story)
 
@@ -200,6 +200,6 @@
             group.instances["127.0.0.1"].offer(snapshot)
             group.network.freeze("127.0.0.1")
             group.instances["127.0.0.2"].offer(snapshot)
-            await group.until(lambda: group.instances["127.0.0.3"].versions == [1])
+            await group.wait_until(lambda: group.instances["127.0.0.3"].versions == [1])
 
         run_group(story)
--- a/tests/cover/test_membership.py
+++ b/tests/cover/test_membership.py
@@ -28,7 +28,7 @@
                     member and (member.config_version, member.epoch) == (7, 3) for member in members
                 )
 
-            self.assertLess(await group.until(known), 2)
+            self.assertLess(await group.wait_until(known), 2)
 
         run_group(story)
 
@@ -36,7 +36,7 @@
         async def story(group: MemberGroup) -> None:
             await group.start_all(9)
             group.instances[VICTIM].membership.leave()
-            self.assertLess(await group.until(lambda: group.all_see(VICTIM, "leaving")), 2)
+            self.assertLess(await group.wait_until(lambda: group.all_see(VICTIM, "leaving")), 2)
 
         run_group(story)
 
@@ -104,16 +104,16 @@
         async def story(group: MemberGroup) -> None:
             await group.start_all(9)
             group.instances.pop(VICTIM).kill()
-            await group.until(lambda: group.all_see(VICTIM, "dead"))
+            await group.wait_until(lambda: group.all_see(VICTIM, "dead"))
 
         run_group(story)
 
     def test_farewell_needs_no_suspicion(self) -> None:
         async def story(group: MemberGroup) -> None:
             await group.start_all(9)
-            group.instances[VICTIM].membership.farewell()
+            group.instances[VICTIM].membership.announce_exit()
             group.instances.pop(VICTIM).kill()
-            self.assertLess(await group.until(lambda: group.all_see(VICTIM, "dead")), 2)
+            self.assertLess(await group.wait_until(lambda: group.all_see(VICTIM, "dead")), 2)
 
         run_group(story)
 
@@ -128,9 +128,9 @@
         async def story(group: MemberGroup) -> None:
             await group.start_all(9)
             group.network.freeze(VICTIM)
-            await group.until(lambda: group.all_see(VICTIM, "dead"))
+            await group.wait_until(lambda: group.all_see(VICTIM, "dead"))
             group.network.thaw(VICTIM)
-            await group.until(lambda: group.all_see_all("live"))
+            await group.wait_until(lambda: group.all_see_all("live"))
 
         run_group(story)
 
@@ -179,7 +179,7 @@
                     for member in members
                 )
 
-            self.assertLess(await group.until(replaced), 5)
+            self.assertLess(await group.wait_until(replaced), 5)
 
         run_group(story)
 
@@ -203,7 +203,7 @@
                 await trio.sleep(0.1)
                 states = group.instances["127.0.0.8"].states()
                 self.assertEqual(states[VICTIM], "leaving")
-            await group.until(lambda: group.all_see(VICTIM, "leaving"))
+            await group.wait_until(lambda: group.all_see(VICTIM, "leaving"))
 
         run_group(story)
 
@@ -220,7 +220,7 @@
             islands = ["127.0.0.7", "127.0.0.8", "127.0.0.9"]
             mainland = [address for address in group.instances if address not in islands]
             group.network.cut_apart(islands, mainland)
-            await group.until(
+            await group.wait_until(
                 lambda: all(
                     group.instances[one].states()[other] == "dead"
                     for one in mainland
--- a/tests/cover/test_move_news.py
+++ b/tests/cover/test_move_news.py
@@ -12,7 +12,7 @@
 from tests.common.fake_platform import FakePlatform
 from tests.common.small_config import idle_board, small_config, small_move
 from wagtailpoint.moves.evidence import Evidence
-from wagtailpoint.moves.news import MoveNewsroom
+from wagtailpoint.moves.gossip import MoveGossip
 from wagtailpoint.moves.progress import PROGRESS_KIND, MoveProgress, MoveState, plan_of
 from wagtailpoint.ports.backend import BackendFailure, FailureReason
 from wagtailpoint.ports.peers import PeerAddress
@@ -33,12 +33,12 @@
         self.board = idle_board(TrioClock())
         self.board.apply(small_config(moves=[small_move()]))
         self.peers = FakePeers(network=network, address=own)
-        self._newsroom = MoveNewsroom(
+        self._newsroom = MoveGossip(
             platform=platform,
             peers=self.peers,
             board=self.board,
             others=lambda: [other for other in (FIRST, SECOND, THIRD) if other != own],
-            watching=lambda: watching,
+            is_watching=lambda: watching,
             wait_s=5.0,
             random=Random(1),
         )
@@ -123,7 +123,7 @@
             await self.write(0)
             await trio.sleep(1)
             server = small_config().services["desk"].groups["new"][0].address
-            other.board.note(server, SHED, 0.1)
+            other.board.record_exchange(server, SHED, 0.1)
             await trio.sleep(2)
             self.assertEqual(writer.board.evidence("shift"), Evidence(shed=1))
 
--- a/tests/cover/test_move_writer.py
+++ b/tests/cover/test_move_writer.py
@@ -39,8 +39,8 @@
             ),
             lease_s=LEASE_S,
             own=own,
-            eligible=lambda: True,
-            receiving=lambda _: (6, 0),
+            is_eligible=lambda: True,
+            count_receiving_servers=lambda _: (6, 0),
         )
 
     def plan(self, **changes: Any) -> None:
@@ -124,13 +124,13 @@
             self.platform.before_put = freeze
             await self.pass_time(3, self.first)
             self.assertEqual(self.stored, (0, "holding", "127.9.0.2"))
-            self.assertFalse(self.first.writer.writing)
+            self.assertFalse(self.first.writer.is_writing)
 
         self.run_async(check)
 
     def shed_at(self, instance: OneInstance) -> None:
         known = instance.board.progresses["shift"]
-        instance.board.take_report(
+        instance.board.apply_report(
             sender="127.9.0.3", move="shift", version=known.version, evidence=SHED
         )
 
@@ -140,7 +140,7 @@
             self.platform.set_down(True)
             await self.pass_time(60, self.first, self.second)
             self.assertEqual(self.first.board.share("shift"), 0.1)
-            self.assertFalse(self.first.writer.writing)
+            self.assertFalse(self.first.writer.is_writing)
             self.platform.set_down(False)
             await self.pass_time(5, self.first, self.second)
             self.assertEqual(self.stored[:2], (0, "running"))
@@ -175,7 +175,7 @@
         async def check() -> None:
             await self.pass_time(5, self.first)
             cleaner = ProgressCleaner(
-                platform=self.platform, board=self.first.board, writing=lambda: True
+                platform=self.platform, board=self.first.board, is_writing=lambda: True
             )
             await cleaner.step()
             await cleaner.step()
--- a/tests/cover/test_moves.py
+++ b/tests/cover/test_moves.py
@@ -107,7 +107,7 @@
         move = self.config.moves["shift"]
         sets = []
         for step in range(3):
-            self.board.learn(progress_of(move, step=step, version=step + 1))
+            self.board.apply_progress(progress_of(move, step=step, version=step + 1))
             sets.append(self.moved())
         self.assertTrue(sets[0] < sets[1] < sets[2])
         self.assertAlmostEqual(len(sets[0]), 40, delta=20)
@@ -117,14 +117,14 @@
         self.assertEqual(self.moved(), set())
 
     def test_abort_takes_effect_without_the_writer(self) -> None:
-        self.board.learn(progress_of(self.config.moves["shift"], step=2))
+        self.board.apply_progress(progress_of(self.config.moves["shift"], step=2))
         self.use(small_config(version=2, moves=[small_move(cap_rps=1000.0, state="abort")]))
         self.assertEqual(self.moved(), set())
 
     def test_older_progress_is_no_news(self) -> None:
         move = self.config.moves["shift"]
-        self.assertTrue(self.board.learn(progress_of(move, step=1, version=5)))
-        self.assertFalse(self.board.learn(progress_of(move, step=2, version=4)))
+        self.assertTrue(self.board.apply_progress(progress_of(move, step=1, version=5)))
+        self.assertFalse(self.board.apply_progress(progress_of(move, step=2, version=4)))
         self.assertEqual(self.board.share("shift"), 0.5)
 
     def test_progress_of_an_earlier_plan_of_that_name_counts_for_nothing(self) -> None:
@@ -133,7 +133,7 @@
         Sequence: a move was finished and deleted, and another was planned under its name. Cause:
         the progress of the first, still in the platform, was taken for that of the second.
         """
-        self.board.learn(progress_of(small_move(steps=(0.2, 1.0)), step=1))
+        self.board.apply_progress(progress_of(small_move(steps=(0.2, 1.0)), step=1))
         self.assertEqual(self.moved(), set())
 
     def servers(self) -> ConfiguredServers:
@@ -151,7 +151,7 @@
         Sequence: the old group was full and a line had formed; a moved request joined it. Cause:
         one line for the whole service, in which nobody is served before the first.
         """
-        self.board.learn(progress_of(self.config.moves["shift"], step=1))
+        self.board.apply_progress(progress_of(self.config.moves["shift"], step=1))
         servers = self.servers()
         positions = {str(number): position_of("shift", str(number)) for number in range(50)}
         stays, moves = max(positions, key=positions.__getitem__), min(
@@ -183,7 +183,7 @@
 
     def test_what_is_over_the_cap_stays_with_the_old_group(self) -> None:
         self.use(small_config(moves=[small_move(cap_rps=5.0)]))
-        self.board.learn(progress_of(self.config.moves["shift"], step=2))
+        self.board.apply_progress(progress_of(self.config.moves["shift"], step=2))
         servers = self.servers()
         groups = {group: set(found) for group, found in self.config.services["desk"].groups.items()}
         times = []
@@ -202,20 +202,20 @@
 
     def test_evidence_of_a_step_before_is_dropped(self) -> None:
         move, new = self.config.moves["shift"], self.config.services["desk"].groups["new"][0]
-        self.board.learn(progress_of(move, step=0, version=1))
+        self.board.apply_progress(progress_of(move, step=0, version=1))
 
         async def nothing():
             yield b""
 
-        self.board.note(new.address, BackendResponse(200, (), nothing()), 0.5)
+        self.board.record_exchange(new.address, BackendResponse(200, (), nothing()), 0.5)
         self.assertEqual(self.board.evidence("shift").answered, 1)
-        self.board.learn(progress_of(move, step=1, version=2))
+        self.board.apply_progress(progress_of(move, step=1, version=2))
         self.assertEqual(self.board.evidence("shift").answered, 0)
 
     def test_reports_made_under_another_progress_are_dropped(self) -> None:
-        self.board.learn(progress_of(self.config.moves["shift"], version=7))
+        self.board.apply_progress(progress_of(self.config.moves["shift"], version=7))
         for version, sender in ((6, "127.9.0.2"), (7, "127.9.0.3")):
-            self.board.take_report(sender=sender, move="shift", version=version, evidence=WARM)
+            self.board.apply_report(sender=sender, move="shift", version=version, evidence=WARM)
         self.assertEqual(self.board.evidence("shift").answered, 50)
         self.clock.now += 10.0
         self.assertEqual(self.board.evidence("shift").answered, 0)
--- a/tests/cover/test_watch_sharing.py
+++ b/tests/cover/test_watch_sharing.py
@@ -60,7 +60,7 @@
         )
         self.sharing = WatchSharing(
             peers=self.peers,
-            membership=FixedMembership(places=places, own=own),  # type: ignore[arg-type]
+            membership=FixedMembership(addresses=places, own=own),  # type: ignore[arg-type]
             followers={KIND: self.follower},
             freshness=make_freshness(self.follower),
         )
--- a/tests/nocover/test_follower_faults.py
+++ b/tests/nocover/test_follower_faults.py
@@ -107,7 +107,7 @@
 
     def __init__(self, *, world: "World", own: PeerAddress, platform: FakePlatform) -> None:
         random = Random(world.random.random())
-        membership: Any = FixedMembership(places=world.places, own=own)
+        membership: Any = FixedMembership(addresses=world.places, own=own)
         self.peers = FakePeers(network=world.network, address=own)
         self.check = StoreCheck(store=platform, random=random)
         self.freshness = Freshness(
--- a/tests/nocover/test_move_schedules.py
+++ b/tests/nocover/test_move_schedules.py
@@ -60,8 +60,8 @@
             ),
             lease_s=LEASE_S,
             own=own,
-            eligible=lambda: True,
-            receiving=lambda _: (6, 0),
+            is_eligible=lambda: True,
+            count_receiving_servers=lambda _: (6, 0),
         )
 
     def freeze(self, *kinds: str) -> None:
