--- a/bench/hedging.py
+++ b/bench/hedging.py
@@ -14,7 +14,7 @@
 from result import Ok, Result
 from tests.common.fake_clock import TrioClock
 from tests.common.small_config import small_config, small_plan
-from tests.common.steering_parts import Told
+from tests.common.steering_parts import CrashReportRecorder
 from trio.testing import MockClock
 
 from wagtailpoint.admission.slots import ServerChoice, SlotPool
@@ -98,7 +98,7 @@
     def choice(self, plan: Plan) -> ServerChoice:
         return self._choice
 
-    def note(
+    def record_outcome(
         self, server: BackendServer, answered: BackendResponse | BackendFailure, latency_s: float
     ) -> None:
         pass
@@ -134,7 +134,7 @@
 class _Observer:
     """Implements ``EntryObserver``, of which forwarding uses one method."""
 
-    def failed(self, *_what: Any, **_more: Any) -> None:
+    def on_exchange_failed(self, *_what: Any, **_more: Any) -> None:
         pass
 
 
@@ -174,7 +174,7 @@
             slots=SlotPool(clock=clock, most_queued=500, random=Random(2)),
             servers=_Servers(),
             budget=lambda _plan: budget,
-            quarantine=Quarantine(others=Told()),
+            quarantine=Quarantine(others=CrashReportRecorder()),
             observer=_Observer(),  # type: ignore[arg-type]
         )
         ends = trio.current_time() + self._until_s
--- a/bench/moves.py
+++ b/bench/moves.py
@@ -195,7 +195,7 @@
         await self._backends.serve(slot.server, thing, receiving=slot.server in self._receiving)
         entry.pool.release(slot)
         now = trio.current_time()
-        entry.servers.note(slot.server, BackendResponse(200, (), _no_body()), now - sent)
+        entry.servers.record_outcome(slot.server, BackendResponse(200, (), _no_body()), now - sent)
         self._latencies.append(now - began)
 
 
--- a/src/wagtailpoint/adapters/http_server.py
+++ b/src/wagtailpoint/adapters/http_server.py
@@ -18,7 +18,7 @@
 from wagtailpoint.adapters.http_connection import CallerConnection, CallerLimits, Resting, linger
 from wagtailpoint.adapters.http_protocol import QuickHandler, ServerConfig, refuse_unread
 from wagtailpoint.admission.refusal import Refusal, RefusalCode
-from wagtailpoint.entry.request import CallerRequest, header, without
+from wagtailpoint.entry.request import CallerRequest, header_value, without_headers
 from wagtailpoint.observe.log import log_event
 from wagtailpoint.ports.backend import BodyBroken, Headers
 from wagtailpoint.ports.clock import Clock
@@ -98,10 +98,10 @@
         """Send status and headers."""
         self._begun = True
         # A backend server's answer bears the id of the entry's exchange with it.
-        sent = without(headers, (names.REQUEST_ID, names.VERDICT))
+        sent = without_headers(headers, (names.REQUEST_ID, names.VERDICT))
         sent += [(names.VERDICT, verdict.value.encode()), *self._own_headers]
         await self._send({"type": "http.response.start", "status": int(status), "headers": sent})
-        length = header(headers, b"content-length")
+        length = header_value(headers, b"content-length")
         if length is None or not length.isdigit() or int(length) > HELD_HEADERS_BYTES:
             await self._connection.flush()
 
@@ -283,7 +283,7 @@
             stall_s=self._options.limits.stall_s,
         )
         request = _caller_request(scope, body, self._clock.monotonic())
-        request_id = header(request.headers, names.REQUEST_ID)
+        request_id = header_value(request.headers, names.REQUEST_ID)
         reply = AsgiReply(
             send=send,
             connection=connection,
@@ -327,8 +327,8 @@
 
 def _caller_request(scope: HTTPScope, body: RequestBody, arrived: float) -> CallerRequest:
     headers = list(scope["headers"])
-    length = header(headers, b"content-length")
-    chunked = header(headers, b"transfer-encoding") is not None
+    length = header_value(headers, b"content-length")
+    chunked = header_value(headers, b"transfer-encoding") is not None
     has_body = chunked or (length is not None and int(length) > 0)
     target = scope["raw_path"].decode("ascii")
     if scope["query_string"]:
@@ -340,7 +340,7 @@
         headers=headers,
         content_length=int(length) if length is not None else None,
         body=body.chunks() if has_body else None,
-        arrived=arrived,
+        arrived_at=arrived,
         client=scope["client"][0] if scope["client"] else "",
     )
 
--- a/src/wagtailpoint/daemon/api.py
+++ b/src/wagtailpoint/daemon/api.py
@@ -11,7 +11,7 @@
 from wagtailpoint import headers as names
 from wagtailpoint.adapters.http_protocol import QuickReply
 from wagtailpoint.admission.refusal import Refusal, RefusalCode, refuse
-from wagtailpoint.entry.plan import MISTAKE_RETRY_AFTER_S
+from wagtailpoint.entry.plan import BAD_REQUEST_RETRY_AFTER_S
 from wagtailpoint.entry.request import CallerRequest, ReplySink
 from wagtailpoint.ports.backend import Headers
 from wagtailpoint.verdict import Verdict
@@ -60,7 +60,7 @@
 def bad_query(reason: str) -> Page:
     """What a page answers to a wrong query."""
     return refusal_page(
-        refuse(HTTPStatus.BAD_REQUEST, RefusalCode.BAD_REQUEST, reason, MISTAKE_RETRY_AFTER_S)
+        refuse(HTTPStatus.BAD_REQUEST, RefusalCode.BAD_REQUEST, reason, BAD_REQUEST_RETRY_AFTER_S)
     )
 
 
--- a/src/wagtailpoint/daemon/instance.py
+++ b/src/wagtailpoint/daemon/instance.py
@@ -137,7 +137,7 @@
             most_queued=settings.limits.queued_requests,
             limit_part=lambda: even_part(self._config.effective),
         )
-        self._gate = RequestGate(most_open=settings.limits.open_requests)
+        self._gate = RequestGate(max_open_requests=settings.limits.open_requests)
         self._keys = KeyStore(
             incarnation=incarnation,
             clock=self._clock,
@@ -325,7 +325,7 @@
             nursery=self._nursery,
             gate=self._gate,
             observer=observer,
-            most_body_bytes=self._settings.limits.request_body_bytes,
+            max_body_bytes=self._settings.limits.request_body_bytes,
         )
 
     def _make_moving(self) -> Moving:
--- a/src/wagtailpoint/daemon/observing.py
+++ b/src/wagtailpoint/daemon/observing.py
@@ -3,8 +3,8 @@
 from typing import Final
 
 from wagtailpoint import headers as names
-from wagtailpoint.entry.observer import Completed
-from wagtailpoint.entry.request import CallerRequest, header
+from wagtailpoint.entry.observer import CompletedRequest
+from wagtailpoint.entry.request import CallerRequest, header_value
 from wagtailpoint.idempotency.outcome import Outcome
 from wagtailpoint.observe.metrics import LatencyKey, Metrics
 from wagtailpoint.observe.timeline import FieldValue, Timeline
@@ -37,9 +37,9 @@
         self._timeline = timeline
         self._clock = clock
 
-    def completed(self, request: CallerRequest, completed: Completed) -> None:
+    def on_completed(self, request: CallerRequest, completed: CompletedRequest) -> None:
         """The caller has its whole reply."""
-        latency_s = self._clock.monotonic() - request.arrived
+        latency_s = self._clock.monotonic() - request.arrived_at
         plan, code, verdict = completed.plan, completed.code, completed.verdict.value
         key = LatencyKey(
             "request",
@@ -53,7 +53,7 @@
         self._metrics.count(f"verdict.{verdict}")
         if code != OK:
             self._metrics.count(f"refusal.{code}")
-        if code != OK or header(request.headers, names.IDEMPOTENCY_KEY) is not None:
+        if code != OK or header_value(request.headers, names.IDEMPOTENCY_KEY) is not None:
             self._record(
                 "request-answered" if code == OK else "request-refused",
                 request,
@@ -63,17 +63,17 @@
                 took_ms=round(latency_s * 1000, 3),
             )
 
-    def broken(self, request: CallerRequest, reason: str) -> None:
+    def on_reply_broken(self, request: CallerRequest, reason: str) -> None:
         """The reply broke off after it had begun."""
         self._metrics.count("reply-broken")
         self._record("request-broken", request, reason=reason)
 
-    def abandoned(self, request: CallerRequest) -> None:
+    def on_abandoned(self, request: CallerRequest) -> None:
         """The caller went away before its reply was whole."""
         self._metrics.count("caller-gone")
         self._record("request-abandoned", request)
 
-    def failed(
+    def on_exchange_failed(
         self,
         request: CallerRequest,
         server: BackendAddress,
@@ -91,7 +91,7 @@
             verdict=failure.verdict.value,
         )
 
-    def attempt_ended(self, request: CallerRequest, outcome: Outcome) -> None:
+    def on_keyed_attempt_ended(self, request: CallerRequest, outcome: Outcome) -> None:
         """A keyed attempt ended, whoever still waited for it."""
         self._record("attempt-ended", request, outcome=type(outcome).__name__)
 
@@ -107,5 +107,5 @@
 
 
 def _short(request: CallerRequest, name: bytes) -> str | None:
-    value = header(request.headers, name)
+    value = header_value(request.headers, name)
     return None if value is None else value[:MOST_ID_CHARACTERS]
--- a/src/wagtailpoint/daemon/probes.py
+++ b/src/wagtailpoint/daemon/probes.py
@@ -8,9 +8,9 @@
 from wagtailpoint.placement.distances import Distances
 from wagtailpoint.placement.placement import Placement
 from wagtailpoint.proxy.backend_pool import BackendPool
-from wagtailpoint.proxy.distance_probe import DistanceProbe
-from wagtailpoint.proxy.reach_probe import ReachProbe
-from wagtailpoint.proxy.warm_up import WarmUp
+from wagtailpoint.proxy.connection_warm_up import ConnectionWarmUp
+from wagtailpoint.proxy.reachability_probe import ReachabilityProbe
+from wagtailpoint.proxy.round_trip_probe import RoundTripProbe
 
 
 def make_probes(
@@ -36,11 +36,11 @@
     def entries() -> Iterable[ServerEntry]:
         return fleet.entries.values()
 
-    distance_probe = DistanceProbe(
+    round_trip_probe = RoundTripProbe(
         entries=entries, pool=pool, distances=distances, is_entry=is_entry, random=random
     )
-    warm_up = WarmUp(
+    connection_warm_up = ConnectionWarmUp(
         entries=entries, pool=pool, distances=distances, is_entry=is_entry, random=random
     )
-    reach_probe = ReachProbe(placement=placement, pool=pool, random=random)
-    return [distance_probe.run, warm_up.run, reach_probe.run]
+    reachability_probe = ReachabilityProbe(placement=placement, pool=pool, random=random)
+    return [round_trip_probe.run, connection_warm_up.run, reachability_probe.run]
--- a/src/wagtailpoint/daemon/servers.py
+++ b/src/wagtailpoint/daemon/servers.py
@@ -94,7 +94,7 @@
                 found.setdefault(server, first + tier)
         return found
 
-    def note(
+    def record_outcome(
         self, server: BackendServer, answered: BackendResponse | BackendFailure, latency_s: float
     ) -> None:
         """Take note of how an exchange ended."""
--- a/src/wagtailpoint/daemon/steering.py
+++ b/src/wagtailpoint/daemon/steering.py
@@ -48,8 +48,8 @@
 from wagtailpoint.proxy.caller_connection import RequestHandler
 from wagtailpoint.proxy.caller_server import CallerServer
 from wagtailpoint.proxy.dispatcher import Dispatcher
-from wagtailpoint.proxy.repeat_budget import RepeatBound, RepeatBudget
 from wagtailpoint.proxy.sender import Sender
+from wagtailpoint.proxy.shared_retry_budget import RetryBound, SharedRetryBudget
 from wagtailpoint.routing.table import DEFAULT_CALLER_BOUNDS, CallerBounds
 
 STORE_TIMEOUT_S = 1.2
@@ -274,7 +274,7 @@
             takes_work=self._fleet.takes_work,
             placement=self._placement,
             pool=self._pool,
-            budget=RepeatBudget(bound=self._repeat_bound, divisor=self._role.bound_divisor),
+            budget=SharedRetryBudget(bound=self._retry_bound, divisor=self._role.bound_divisor),
             quarantine=self._quarantine.local,
             key_check=self._workspaces.key_check,
             names=HEADER_NAMES,
@@ -297,7 +297,7 @@
                 handler=handler,
                 bounds=self._bounds,
                 is_leaving=lambda: self._leaving,
-                most_connections=most,
+                max_connections=most,
             )
 
         settings = self._settings
@@ -313,9 +313,9 @@
         bounds = self._settings_file.bounds
         return ColdBound(bounds.cold_overage, bounds.cold_slack)
 
-    def _repeat_bound(self) -> RepeatBound:
+    def _retry_bound(self) -> RetryBound:
         bounds = self._settings_file.bounds
-        return RepeatBound(bounds.repeat_ratio, bounds.repeat_slack)
+        return RetryBound(bounds.repeat_ratio, bounds.repeat_slack)
 
     def _bounds(self) -> CallerBounds:
         table = self._state.table
--- a/src/wagtailpoint/entry/forwarding.py
+++ b/src/wagtailpoint/entry/forwarding.py
@@ -16,7 +16,7 @@
 from wagtailpoint.entry.hedging import BUDGET_KEPT, Copy, HedgeDelays, Race, may_hedge
 from wagtailpoint.entry.observer import EntryObserver
 from wagtailpoint.entry.plan import Plan, PlannedRequest
-from wagtailpoint.entry.request import without
+from wagtailpoint.entry.request import without_headers
 from wagtailpoint.ports.backend import (
     BackendFailure,
     BackendRequest,
@@ -60,7 +60,7 @@
         """The choice among the backend servers that may take it."""
         ...
 
-    def note(
+    def record_outcome(
         self, server: BackendServer, answered: BackendResponse | BackendFailure, latency_s: float
     ) -> None:
         """Take note of how an exchange ended; ``latency_s`` until the response's headers."""
@@ -167,7 +167,7 @@
             again = decision.allowed and planned.stream is None
             again = again and self._quarantine.may_repeat(fingerprint)
             for attempt in attempts:
-                self._observer.failed(
+                self._observer.on_exchange_failed(
                     planned.request, attempt.server.address, attempt.failure, again=again
                 )
             if not again:
@@ -230,11 +230,11 @@
             latency_s = self._clock.monotonic() - began
             match outcome:
                 case Ok(response):
-                    self._servers.note(slot.server, response, latency_s)
+                    self._servers.record_outcome(slot.server, response, latency_s)
                     await sink(response)
                     return None
                 case Err(failure):
-                    self._servers.note(slot.server, failure, latency_s)
+                    self._servers.record_outcome(slot.server, failure, latency_s)
                     return failure
 
     def _demand(self, plan: Plan, avoid: Sequence[BackendServer]) -> SlotDemand:
@@ -257,7 +257,7 @@
         request_id=secrets.token_hex(8),
         method=request.method,
         target=request.target,
-        headers=without(request.headers, NOT_FORWARDED),
+        headers=without_headers(request.headers, NOT_FORWARDED),
         # None and not an empty body: a GET would else be sent as chunked.
         body=_once(planned.body) if planned.body else planned.stream,
         deadline_s=remaining_s,
--- a/src/wagtailpoint/entry/gate.py
+++ b/src/wagtailpoint/entry/gate.py
@@ -15,14 +15,14 @@
 class RequestGate:
     """Counts the open requests of this instance and closes when it stops."""
 
-    def __init__(self, *, most_open: int) -> None:
+    def __init__(self, *, max_open_requests: int) -> None:
         """Make an open gate.
 
         Args:
-            most_open: Open requests beyond which new ones are refused at once: each holds memory
-                and a connection, and those already open would be the ones to suffer.
+            max_open_requests: New requests are refused beyond this number of open ones. Each holds
+                memory and a connection, and accepting more would harm those already open.
         """
-        self._most_open = most_open
+        self._max_open_requests = max_open_requests
         self._open = 0
         self._closed = False
         self._idle = trio.Event()
@@ -46,11 +46,11 @@
                 "this instance is stopping; look up again and use another entry",
                 LEAVING_RETRY_AFTER_S,
             )
-        if self._open > self._most_open:
+        if self._open > self._max_open_requests:
             return refuse(
                 HTTPStatus.SERVICE_UNAVAILABLE,
                 RefusalCode.NO_SLOT,
-                f"this instance has {self._most_open} open requests and takes no more",
+                f"this instance has {self._max_open_requests} open requests and takes no more",
                 FULL_RETRY_AFTER_S,
             )
         return None
--- a/src/wagtailpoint/entry/observer.py
+++ b/src/wagtailpoint/entry/observer.py
@@ -9,7 +9,7 @@
 from wagtailpoint.verdict import Verdict
 
 
-class Completed(NamedTuple):
+class CompletedRequest(NamedTuple):
     """What became of a request.
 
     Attributes:
@@ -28,19 +28,19 @@
 class EntryObserver(Protocol):
     """Is told what happens to a request."""
 
-    def completed(self, request: CallerRequest, completed: Completed) -> None:
+    def on_completed(self, request: CallerRequest, completed: CompletedRequest) -> None:
         """The caller has its whole reply."""
         ...
 
-    def broken(self, request: CallerRequest, reason: str) -> None:
+    def on_reply_broken(self, request: CallerRequest, reason: str) -> None:
         """The reply broke off after it had begun."""
         ...
 
-    def abandoned(self, request: CallerRequest) -> None:
+    def on_abandoned(self, request: CallerRequest) -> None:
         """The caller went away before its reply was whole."""
         ...
 
-    def failed(
+    def on_exchange_failed(
         self,
         request: CallerRequest,
         server: BackendAddress,
@@ -51,6 +51,6 @@
         """One exchange gave no answer; ``again`` if the request is sent once more."""
         ...
 
-    def attempt_ended(self, request: CallerRequest, outcome: Outcome) -> None:
+    def on_keyed_attempt_ended(self, request: CallerRequest, outcome: Outcome) -> None:
         """A keyed attempt ended, whoever still waited for it."""
         ...
--- a/src/wagtailpoint/entry/plan.py
+++ b/src/wagtailpoint/entry/plan.py
@@ -9,12 +9,12 @@
 from wagtailpoint import headers as names
 from wagtailpoint.admission.refusal import Refusal, RefusalCode, refuse
 from wagtailpoint.config.model import ClassPolicy, EffectiveConfig, Route, Service, Workspace
-from wagtailpoint.entry.request import CallerRequest, header
+from wagtailpoint.entry.request import CallerRequest, header_value
 from wagtailpoint.entry.routing import find_route
 
 MOST_DEADLINE_DIGITS = 12
 
-MISTAKE_RETRY_AFTER_S = 60.0
+BAD_REQUEST_RETRY_AFTER_S = 60.0
 """A request that breaks the interface is as wrong a second later; come back after a change."""
 
 
@@ -59,7 +59,7 @@
 
 def plan_request(config: EffectiveConfig, request: CallerRequest) -> Result[Plan, Refusal]:
     """Find the workspace, the route and the deadline of a request."""
-    name = header(request.headers, names.WORKSPACE)
+    name = header_value(request.headers, names.WORKSPACE)
     workspace = config.workspaces.get(name) if name else None
     if workspace is None:
         return Err(_unknown_workspace(name))
@@ -76,20 +76,20 @@
             route=route,
             service=service,
             policy=service.classes[route.request_class],
-            deadline=request.arrived + timeout.ok_value,
+            deadline=request.arrived_at + timeout.ok_value,
             affinity=_affinity(request),
         )
     )
 
 
 def _affinity(request: CallerRequest) -> str:
-    key = header(request.headers, names.IDEMPOTENCY_KEY) or ""
+    key = header_value(request.headers, names.IDEMPOTENCY_KEY) or ""
     return f"{request.client} {request.path} {key}"
 
 
 def _timeout(route: Route, request: CallerRequest) -> Result[float, Refusal]:
     """The shorter of the caller's remaining time and the route's timeout, in seconds."""
-    text = header(request.headers, names.DEADLINE_MS)
+    text = header_value(request.headers, names.DEADLINE_MS)
     if text is None:
         return Ok(route.timeout_s)
     # Python refuses to convert thousands of digits; no caller waits for 30 years.
@@ -102,7 +102,7 @@
     if not name:
         reason = "given no Wagtailpoint-Workspace header, expected the name of a workspace"
         return refuse(
-            HTTPStatus.BAD_REQUEST, RefusalCode.BAD_REQUEST, reason, MISTAKE_RETRY_AFTER_S
+            HTTPStatus.BAD_REQUEST, RefusalCode.BAD_REQUEST, reason, BAD_REQUEST_RETRY_AFTER_S
         )
     # A workspace created a moment ago may not have reached this instance yet.
     return refuse(
@@ -119,7 +119,7 @@
         HTTPStatus.NOT_FOUND,
         RefusalCode.NO_ROUTE,
         f"given {request.method} {request.path[:80]}, expected a path under {prefixes}",
-        MISTAKE_RETRY_AFTER_S,
+        BAD_REQUEST_RETRY_AFTER_S,
     )
 
 
@@ -128,5 +128,5 @@
         HTTPStatus.BAD_REQUEST,
         RefusalCode.BAD_REQUEST,
         f"given Wagtailpoint-Deadline-Ms {text[:20]!r}, expected whole milliseconds",
-        MISTAKE_RETRY_AFTER_S,
+        BAD_REQUEST_RETRY_AFTER_S,
     )
--- a/src/wagtailpoint/entry/refusals.py
+++ b/src/wagtailpoint/entry/refusals.py
@@ -3,7 +3,7 @@
 from http import HTTPStatus
 
 from wagtailpoint.admission.refusal import Refusal, RefusalCode, refuse
-from wagtailpoint.entry.plan import MISTAKE_RETRY_AFTER_S
+from wagtailpoint.entry.plan import BAD_REQUEST_RETRY_AFTER_S
 
 NO_CONFIG_RETRY_AFTER_S = 1.0
 SLOW_RETRY_AFTER_S = 1.0
@@ -26,7 +26,7 @@
         HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
         RefusalCode.BODY_TOO_LARGE,
         f"given a body over {most_bytes} bytes, the most that this entry takes",
-        MISTAKE_RETRY_AFTER_S,
+        BAD_REQUEST_RETRY_AFTER_S,
     )
 
 
--- a/src/wagtailpoint/entry/replies.py
+++ b/src/wagtailpoint/entry/replies.py
@@ -2,14 +2,14 @@
 
 from wagtailpoint import headers as names
 from wagtailpoint.admission.refusal import Refusal
-from wagtailpoint.entry.observer import Completed
+from wagtailpoint.entry.observer import CompletedRequest
 from wagtailpoint.entry.plan import Plan
-from wagtailpoint.entry.request import ReplySink, without
+from wagtailpoint.entry.request import ReplySink, without_headers
 from wagtailpoint.idempotency.outcome import Answered, NotRun, Outcome, repeat_of
 from wagtailpoint.verdict import Verdict
 
 
-async def send_outcome(sink: ReplySink, outcome: Outcome, plan: Plan | None) -> Completed:
+async def send_outcome(sink: ReplySink, outcome: Outcome, plan: Plan | None) -> CompletedRequest:
     """Reply with the outcome of a keyed request."""
     if isinstance(outcome, NotRun):
         # The first to be told, and those that joined it, get the refusal itself.
@@ -20,18 +20,18 @@
     return await send_answer(sink, repeat, plan)
 
 
-async def send_answer(sink: ReplySink, answer: Answered, plan: Plan | None) -> Completed:
+async def send_answer(sink: ReplySink, answer: Answered, plan: Plan | None) -> CompletedRequest:
     """Reply with an answer that was held whole."""
     await sink.begin(status=answer.status, headers=answer.headers, verdict=Verdict.RAN)
     await sink.send(answer.body or b"")
-    return Completed(plan, answer.status, Verdict.RAN, "ok")
+    return CompletedRequest(plan, answer.status, Verdict.RAN, "ok")
 
 
-async def send_refusal(sink: ReplySink, refusal: Refusal, plan: Plan | None) -> Completed:
+async def send_refusal(sink: ReplySink, refusal: Refusal, plan: Plan | None) -> CompletedRequest:
     """Reply with a refusal."""
     body = refusal.body()
     length = (b"content-length", str(len(body)).encode())
-    headers = [*without(refusal.headers(), (names.VERDICT,)), length]
+    headers = [*without_headers(refusal.headers(), (names.VERDICT,)), length]
     await sink.begin(status=refusal.status, headers=headers, verdict=refusal.verdict)
     await sink.send(body)
-    return Completed(plan, refusal.status, refusal.verdict, refusal.code.value)
+    return CompletedRequest(plan, refusal.status, refusal.verdict, refusal.code.value)
--- a/src/wagtailpoint/entry/request.py
+++ b/src/wagtailpoint/entry/request.py
@@ -17,7 +17,7 @@
         headers: All headers, names in lower case.
         content_length: What the caller promised, in bytes; None when not said.
         body: The body as it arrives, or None when there is none.
-        arrived: When its headers were complete, by the monotonic clock.
+        arrived_at: When its headers were complete, by the monotonic clock.
         client: The IP number at the other end of the connection; empty if not known.
     """
 
@@ -27,7 +27,7 @@
     headers: Headers
     content_length: int | None
     body: AsyncIterator[bytes] | None
-    arrived: float
+    arrived_at: float
     client: str = ""
 
 
@@ -55,7 +55,7 @@
     """A request body that its caller sends too slowly, or not at all."""
 
 
-def header(headers: Headers, name: bytes) -> str | None:
+def header_value(headers: Headers, name: bytes) -> str | None:
     """The first value of a header, or None; ``name`` is in lower case."""
     for known, value in headers:
         if known == name:
@@ -63,6 +63,6 @@
     return None
 
 
-def without(headers: Headers, names: Sequence[bytes]) -> list[tuple[bytes, bytes]]:
+def without_headers(headers: Headers, names: Sequence[bytes]) -> list[tuple[bytes, bytes]]:
     """The headers whose names are not among ``names``."""
     return [(name, value) for name, value in headers if name not in names]
--- a/src/wagtailpoint/entry/service.py
+++ b/src/wagtailpoint/entry/service.py
@@ -13,9 +13,9 @@
 from wagtailpoint.entry import refusals
 from wagtailpoint.entry.forwarding import Forwarder
 from wagtailpoint.entry.gate import RequestGate
-from wagtailpoint.entry.observer import Completed, EntryObserver
+from wagtailpoint.entry.observer import CompletedRequest, EntryObserver
 from wagtailpoint.entry.plan import (
-    MISTAKE_RETRY_AFTER_S,
+    BAD_REQUEST_RETRY_AFTER_S,
     Plan,
     PlannedRequest,
     plan_request,
@@ -26,7 +26,7 @@
     BodyTooSlow,
     CallerRequest,
     ReplySink,
-    header,
+    header_value,
 )
 from wagtailpoint.fingerprint import fingerprint
 from wagtailpoint.idempotency.binding import Binding, parse_binding
@@ -87,7 +87,7 @@
         nursery: trio.Nursery,
         gate: RequestGate,
         observer: EntryObserver,
-        most_body_bytes: int,
+        max_body_bytes: int,
     ) -> None:
         """Make the service.
 
@@ -101,7 +101,7 @@
                 repeat finds the attempt in flight or its answer, not a cancelled one.
             gate: Counts the open requests and refuses new ones when the instance stops.
             observer: Is told what becomes of each request.
-            most_body_bytes: The longest request body.
+            max_body_bytes: The longest request body.
         """
         self._config = config
         self._forwarder = forwarder
@@ -111,7 +111,7 @@
         self._nursery = nursery
         self._gate = gate
         self._observer = observer
-        self._most_body_bytes = most_body_bytes
+        self._max_body_bytes = max_body_bytes
 
     async def handle(self, request: CallerRequest, sink: ReplySink) -> None:
         """Reply to a request.
@@ -123,19 +123,19 @@
             try:
                 completed = await self._handle(request, sink)
             except BodyBroken as error:
-                self._observer.broken(request, str(error))
+                self._observer.on_reply_broken(request, str(error))
                 raise
             except trio.Cancelled:
-                self._observer.abandoned(request)
+                self._observer.on_abandoned(request)
                 raise
-        self._observer.completed(request, completed)
+        self._observer.on_completed(request, completed)
 
-    async def _handle(self, request: CallerRequest, sink: ReplySink) -> Completed:
+    async def _handle(self, request: CallerRequest, sink: ReplySink) -> CompletedRequest:
         planned = self._plan(request)
-        key = header(request.headers, names.IDEMPOTENCY_KEY)
+        key = header_value(request.headers, names.IDEMPOTENCY_KEY)
         repeatable = isinstance(planned, Ok) and planned.ok_value.route.idempotent
         if key is not None and not repeatable:
-            workspace = header(request.headers, names.WORKSPACE) or ""
+            workspace = header_value(request.headers, names.WORKSPACE) or ""
             return await self._handle_keyed(request, RequestKey(workspace, key), sink, planned)
         if isinstance(planned, Err):
             return await send_refusal(sink, planned.err_value, None)
@@ -148,11 +148,13 @@
         config = self._config()
         if config is None:
             return Err(refusals.not_ready())
-        if request.content_length is not None and request.content_length > self._most_body_bytes:
-            return Err(refusals.too_large(self._most_body_bytes))
+        if request.content_length is not None and request.content_length > self._max_body_bytes:
+            return Err(refusals.too_large(self._max_body_bytes))
         return plan_request(config, request)
 
-    async def _handle_plain(self, plan: Plan, request: CallerRequest, sink: ReplySink) -> Completed:
+    async def _handle_plain(
+        self, plan: Plan, request: CallerRequest, sink: ReplySink
+    ) -> CompletedRequest:
         read = await self._read_body(plan.deadline, request, READ_AHEAD_BYTES)
         if isinstance(read, Err):
             return await send_refusal(sink, read.err_value, plan)
@@ -165,7 +167,7 @@
         async def pass_on(response: BackendResponse) -> None:
             nonlocal status
             status = response.status
-            left = int(header(response.headers, b"content-length") or -1)
+            left = int(header_value(response.headers, b"content-length") or -1)
             await sink.begin(status=status, headers=response.headers, verdict=Verdict.RAN)
             async for chunk in response.body:
                 await sink.send(chunk)
@@ -190,11 +192,11 @@
             return await send_refusal(sink, refusal, plan)
         if isinstance(outcome, Err):
             return await send_refusal(sink, outcome.err_value, plan)
-        return Completed(plan, status, Verdict.RAN, "ok")
+        return CompletedRequest(plan, status, Verdict.RAN, "ok")
 
     async def _handle_keyed(
         self, request: CallerRequest, key: RequestKey, sink: ReplySink, planned: Planned
-    ) -> Completed:
+    ) -> CompletedRequest:
         parsed = _binding(request)
         if isinstance(parsed, Err):
             return await send_refusal(sink, parsed.err_value, planned.ok())
@@ -202,7 +204,7 @@
         if isinstance(planned, Err):
             return await self._refuse_keyed(key, binding, planned.err_value, sink, None)
         plan = planned.ok_value
-        read = await self._read_body(plan.deadline, request, self._most_body_bytes)
+        read = await self._read_body(plan.deadline, request, self._max_body_bytes)
         if isinstance(read, Err):
             return await self._refuse_keyed(key, binding, read.err_value, sink, plan)
         body, _ = read.ok_value
@@ -221,7 +223,7 @@
                 return await send_outcome(sink, outcome, plan)
         return await self._reply_keyed(begun, plan, sink)
 
-    async def _reply_keyed(self, begun: Begin, plan: Plan, sink: ReplySink) -> Completed:
+    async def _reply_keyed(self, begun: Begin, plan: Plan, sink: ReplySink) -> CompletedRequest:
         match begun:
             case Join(attempt):
                 outcome: Outcome = MayHaveRun("still in flight at the deadline")
@@ -242,7 +244,7 @@
         refusal: Refusal,
         sink: ReplySink,
         plan: Plan | None,
-    ) -> Completed:
+    ) -> CompletedRequest:
         """Refuse one copy of a keyed request before its body is known.
 
         Its ``not-run`` is only true if no other copy runs, before or after: the key is forbidden
@@ -275,7 +277,7 @@
             log_event("internal-error", level="ERROR", where="keyed attempt", error=repr(error))
         finally:
             self._keys.finish(key, outcome)
-            self._observer.attempt_ended(planned.request, outcome)
+            self._observer.on_keyed_attempt_ended(planned.request, outcome)
 
     async def _run_keyed(
         self, key: RequestKey, planned: PlannedRequest, binding: Binding | None
@@ -332,7 +334,7 @@
 
     def _bad_body(self, error: BodyTooLarge | BodyTooSlow) -> Refusal:
         if isinstance(error, BodyTooLarge):
-            return refusals.too_large(self._most_body_bytes)
+            return refusals.too_large(self._max_body_bytes)
         return refusals.body_too_slow()
 
 
@@ -349,14 +351,16 @@
 
 
 def _binding(request: CallerRequest) -> Result[Binding | None, Refusal]:
-    text = header(request.headers, names.BINDING)
+    text = header_value(request.headers, names.BINDING)
     if text is None:
         return Ok(None)
     parsed = parse_binding(text)
     if isinstance(parsed, Ok):
         return Ok(parsed.ok_value)
     reason = str(parsed.err_value)
-    refusal = refuse(HTTPStatus.BAD_REQUEST, RefusalCode.BAD_BINDING, reason, MISTAKE_RETRY_AFTER_S)
+    refusal = refuse(
+        HTTPStatus.BAD_REQUEST, RefusalCode.BAD_BINDING, reason, BAD_REQUEST_RETRY_AFTER_S
+    )
     return Err(refusal)
 
 
--- a/src/wagtailpoint/proxy/caller_exchange.py
+++ b/src/wagtailpoint/proxy/caller_exchange.py
@@ -29,13 +29,13 @@
         method: For example ``GET``.
         target: Path and query as they were written.
         headers: All headers, names in lower case.
-        arrived: When the head was complete, by trio's clock.
+        arrived_at: When the head was complete, by trio's clock.
     """
 
     method: str
     target: str
     headers: Headers
-    arrived: float
+    arrived_at: float
 
 
 class ReadBody(NamedTuple):
--- a/src/wagtailpoint/proxy/caller_server.py
+++ b/src/wagtailpoint/proxy/caller_server.py
@@ -24,7 +24,7 @@
         handler: RequestHandler,
         bounds: Callable[[], CallerBounds],
         is_leaving: Callable[[], bool],
-        most_connections: int,
+        max_connections: int,
     ) -> None:
         """Make a server that does not listen yet.
 
@@ -33,13 +33,13 @@
             handler: Serves one request.
             bounds: What callers may send.
             is_leaving: Whether callers shall not use their connections again.
-            most_connections: Beyond so many the one that rests is closed, or the new one.
+            max_connections: Beyond so many the one that rests is closed, or the new one.
         """
         self._endpoint = endpoint
         self._handler = handler
         self._bounds = bounds
         self._is_leaving = is_leaving
-        self._most = most_connections
+        self._max_connections = max_connections
         self._connections: set[CallerConnection] = set()
         self._accepting = trio.CancelScope()
 
@@ -65,7 +65,7 @@
                 await trio.serve_listeners(partial(self._serve), listeners, handler_nursery=nursery)
 
     async def _serve(self, stream: trio.SocketStream) -> None:
-        if len(self._connections) >= self._most and not self._make_room():
+        if len(self._connections) >= self._max_connections and not self._make_room():
             log_event("connection-refused", level="WARNING", open=len(self._connections))
             await trio.aclose_forcefully(stream)
             return
--- a/src/wagtailpoint/proxy/warm_up.py
+++ b/src/wagtailpoint/proxy/connection_warm_up.py
@@ -26,7 +26,7 @@
 of hundreds now and then, and most of these connections would close unused."""
 
 
-class WarmUp:
+class ConnectionWarmUp:
     """Keeps a connection ready to each far backend server for a while after the start.
 
     A request that has to open its own waits a round trip more, which may be most of its objective.
--- a/src/wagtailpoint/proxy/dispatcher.py
+++ b/src/wagtailpoint/proxy/dispatcher.py
@@ -147,7 +147,7 @@
         job = Job(
             request=request, table=table, route=route, service=service, key=key, workspace=found
         )
-        job.deadline = request.arrived + self._timeout_s(request, route)
+        job.deadline = request.arrived_at + self._timeout_s(request, route)
         answered = False
         try:
             outcome = await self._serve(job, caller)
@@ -270,7 +270,7 @@
     def _log(
         self, request: IncomingRequest, job: Job | None, outcome: Outcome, caller: CallerExchange
     ) -> None:
-        elapsed_s = trio.current_time() - request.arrived
+        elapsed_s = trio.current_time() - request.arrived_at
         route = job.route.name if job is not None else ""
         self._metrics.count(f"request.{outcome.result}")
         self._metrics.record_latency(
--- a/src/wagtailpoint/proxy/reach_probe.py
+++ b/src/wagtailpoint/proxy/reachability_probe.py
@@ -13,7 +13,7 @@
 LOOK_INTERVAL_S: Final = 0.2
 
 
-class ReachProbe:
+class ReachabilityProbe:
     """Tries backend servers that have rested after a failure to reach them.
 
     Without it requests are what tries them: each instance lost one to each dead server in every
--- a/src/wagtailpoint/proxy/distance_probe.py
+++ b/src/wagtailpoint/proxy/round_trip_probe.py
@@ -14,7 +14,7 @@
 """Backend servers become known within a second or two of the start, before callers come."""
 
 
-class DistanceProbe:
+class RoundTripProbe:
     """Opens one connection to each failure domain whose distance is not known.
 
     Without it the first requests would be placed by assumed round trips, and a region that turns
--- a/src/wagtailpoint/proxy/sender.py
+++ b/src/wagtailpoint/proxy/sender.py
@@ -28,7 +28,7 @@
 )
 from wagtailpoint.proxy.job import UNREACHED, Job, Outcome
 from wagtailpoint.proxy.key_check import KeyCheck
-from wagtailpoint.proxy.repeat_budget import RepeatBudget
+from wagtailpoint.proxy.shared_retry_budget import SharedRetryBudget
 from wagtailpoint.quarantine.quarantine import Quarantine
 from wagtailpoint.routing.workspaces import AUTHORIZATION
 from wagtailpoint.verdict import Verdict
@@ -80,7 +80,7 @@
         takes_work: Callable[[ServerEntry], bool],
         placement: Placement,
         pool: BackendPool,
-        budget: RepeatBudget,
+        budget: SharedRetryBudget,
         quarantine: Quarantine,
         key_check: KeyCheck,
         names: HeaderNames,
@@ -106,7 +106,7 @@
 
     def note_request(self, job: Job) -> None:
         """A request of a caller came."""
-        self._budget.note_request(job.service)
+        self._budget.record_request(job.service)
         self._placement.note_request(self._demand(job))
 
     def choose(self, job: Job) -> Choice | NoRoom:
@@ -125,7 +125,7 @@
             key=f"{job.route.prefix}{text(key)}" if key else job.request.target,
             tried=job.tried,
             left_s=job.left_s,
-            objective_left_s=job.request.arrived + job.route.objective_s - trio.current_time(),
+            objective_left_s=job.request.arrived_at + job.route.objective_s - trio.current_time(),
         )
 
     def may_go_on(self, job: Job) -> bool:
--- a/src/wagtailpoint/proxy/repeat_budget.py
+++ b/src/wagtailpoint/proxy/shared_retry_budget.py
@@ -7,7 +7,7 @@
 """The part of the budget that is spent: instances may be more than are believed to be."""
 
 
-class RepeatBound(NamedTuple):
+class RetryBound(NamedTuple):
     """What all instances together may send again.
 
     Attributes:
@@ -19,7 +19,7 @@
     slack: float
 
 
-class RepeatBudget:
+class SharedRetryBudget:
     """How many sends beyond the first of each request may go to a service.
 
     The deployment allows, over any window, a part of the requests and some slack. This instance
@@ -27,7 +27,7 @@
     earned again but by requests.
     """
 
-    def __init__(self, *, bound: Callable[[], RepeatBound], divisor: Callable[[], float]) -> None:
+    def __init__(self, *, bound: Callable[[], RetryBound], divisor: Callable[[], float]) -> None:
         """Make it with half of this instance's slack.
 
         Half, since a process that is killed and started again would spend it a second time.
@@ -40,7 +40,7 @@
         self._divisor = divisor
         self._tokens: dict[str, float] = {}
 
-    def note_request(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """A request for a service came."""
         earned = SAFETY * self._bound().ratio
         self._tokens[service] = min(self._most(), self._of(service) + earned)
--- a/tests/common/steering_parts.py
+++ b/tests/common/steering_parts.py
@@ -26,8 +26,8 @@
 from wagtailpoint.proxy.caller_server import CallerServer
 from wagtailpoint.proxy.dispatcher import Dispatcher
 from wagtailpoint.proxy.key_check import KeyCheck
-from wagtailpoint.proxy.repeat_budget import RepeatBound, RepeatBudget
 from wagtailpoint.proxy.sender import Sender
+from wagtailpoint.proxy.shared_retry_budget import RetryBound, SharedRetryBudget
 from wagtailpoint.quarantine.quarantine import CrashReport, Quarantine
 from wagtailpoint.routing.table import (
     DEFAULT_CALLER_BOUNDS,
@@ -40,7 +40,7 @@
 
 REGION_OF = {"a-1": "a", "a-2": "a", "b-1": "b"}
 ENTRY_PORT = 18081
-MOST_SHIFT = 0.15
+MAX_SHIFT = 0.15
 
 
 def make_route(name: str = "r", **changes) -> HostRoute:
@@ -96,7 +96,7 @@
             bound=lambda: ColdBound(1.5, 5.0), sharing=lambda start, region, wanted: instances
         ),
         cached_part=CachedPart(fleet=fleet, entries=entries),
-        mix=RegionMix(most_shift=lambda: MOST_SHIFT, random=Random(1)),
+        mix=RegionMix(most_shift=lambda: MAX_SHIFT, random=Random(1)),
         entries=entries,
     )
 
@@ -108,7 +108,7 @@
     )
 
 
-class Told:
+class CrashReportRecorder:
     """Keeps what an instance would tell the others of crashes.
 
     Attributes:
@@ -171,8 +171,8 @@
         self.table = table
         self.fleet = Fleet(region_of=REGION_OF)
         self.placement = make_placement(self.fleet)
-        self.budget = RepeatBudget(bound=lambda: RepeatBound(0.2, 50.0), divisor=lambda: 1.0)
-        self.told = Told()
+        self.budget = SharedRetryBudget(bound=lambda: RetryBound(0.2, 50.0), divisor=lambda: 1.0)
+        self.told = CrashReportRecorder()
         self.quarantine = Quarantine(others=self.told)
         self.proved = True
         self.allowances = ScriptedAllowances()
@@ -204,7 +204,7 @@
             handler=self.dispatcher.handle,
             bounds=lambda: DEFAULT_CALLER_BOUNDS,
             is_leaving=lambda: False,
-            most_connections=50,
+            max_connections=50,
         )
         async with trio.open_nursery() as nursery:
             await nursery.start(server.run)
--- a/tests/cover/test_backend_pool.py
+++ b/tests/cover/test_backend_pool.py
@@ -17,7 +17,7 @@
 from wagtailpoint.platform.header_names import HEADER_NAMES
 from wagtailpoint.proxy import backend_pool
 from wagtailpoint.proxy.backend_pool import BackendPool
-from wagtailpoint.proxy.distance_probe import DistanceProbe
+from wagtailpoint.proxy.round_trip_probe import RoundTripProbe
 
 LIMIT_S = 20
 FAR = "b-1"
@@ -142,7 +142,7 @@
         self.run_with(NEAR, test)
 
 
-class DistanceProbeTest(unittest.TestCase):
+class RoundTripProbeTest(unittest.TestCase):
     def test_each_failure_domain_is_measured_once(self) -> None:
         """Symptom: two seconds after the start many requests move to another region at once.
 
@@ -162,7 +162,7 @@
                     make_server(f"i-{number}", address, failure_domain=domain)
                     for number, domain in enumerate((NEAR, FAR, FAR, FAR))
                 ]
-                probe = DistanceProbe(
+                probe = RoundTripProbe(
                     entries=lambda: entries,
                     pool=pool,
                     distances=distances,
--- a/tests/cover/test_caller_connection.py
+++ b/tests/cover/test_caller_connection.py
@@ -35,7 +35,7 @@
                     handler=handler,
                     bounds=lambda: self.bounds,
                     is_leaving=lambda: self.leaving,
-                    most_connections=10,
+                    max_connections=10,
                 )
                 async with trio.open_nursery() as nursery:
                     await nursery.start(server.run)
--- a/tests/cover/test_forwarding.py
+++ b/tests/cover/test_forwarding.py
@@ -11,7 +11,7 @@
 
 from tests.common.fake_clock import FakeClock
 from tests.common.small_config import small_config, small_plan
-from tests.common.steering_parts import Told
+from tests.common.steering_parts import CrashReportRecorder
 from wagtailpoint.admission.refusal import Refusal, RefusalCode
 from wagtailpoint.admission.slots import Slot
 from wagtailpoint.entry.forwarding import Forwarder
@@ -74,7 +74,7 @@
             slots=slots,  # type: ignore[arg-type]
             servers=NoChoice(),  # type: ignore[arg-type]
             budget=lambda _plan: budget,
-            quarantine=Quarantine(others=Told()),
+            quarantine=Quarantine(others=CrashReportRecorder()),
             observer=NoFailures(),  # type: ignore[arg-type]
         )
         plan = small_plan(small_config(), deadline=clock.now + 1.0)
@@ -135,12 +135,12 @@
     def choice(self, plan: Any) -> None:
         return None
 
-    def note(self, server: Any, answered: Any, latency_s: float) -> None:
+    def record_outcome(self, server: Any, answered: Any, latency_s: float) -> None:
         return
 
 
 class AnyFailures:
-    def failed(self, *_what: Any, **_more: Any) -> None:
+    def on_exchange_failed(self, *_what: Any, **_more: Any) -> None:
         return
 
 
@@ -155,7 +155,7 @@
             slots=FreeSlots(),  # type: ignore[arg-type]
             servers=NoNews(),  # type: ignore[arg-type]
             budget=lambda _plan: budget,
-            quarantine=Quarantine(others=Told()),
+            quarantine=Quarantine(others=CrashReportRecorder()),
             observer=AnyFailures(),  # type: ignore[arg-type]
         )
         plan = small_plan(small_config(), deadline=clock.now + 1.0)
--- a/tests/cover/test_observing.py
+++ b/tests/cover/test_observing.py
@@ -12,7 +12,7 @@
 from wagtailpoint.daemon.api import OwnPages, Page
 from wagtailpoint.daemon.metrics_page import measure, metrics_text
 from wagtailpoint.daemon.observing import RequestObserver
-from wagtailpoint.entry.observer import Completed
+from wagtailpoint.entry.observer import CompletedRequest
 from wagtailpoint.entry.request import CallerRequest
 from wagtailpoint.observe.hlc import ZERO, HybridClock
 from wagtailpoint.observe.log import configure_log, log_event
@@ -73,17 +73,17 @@
         return [(each.event, each.fields["request_id"]) for each in self.timeline.since(ZERO)]
 
     def test_plain_answers_are_counted_without_an_event(self) -> None:
-        self.observer.completed(self.request(), Completed(None, 200, Verdict.RAN, "ok"))
+        self.observer.on_completed(self.request(), CompletedRequest(None, 200, Verdict.RAN, "ok"))
         self.assertEqual(self.events(), [])
         self.assertEqual(self.metrics.counts["verdict.ran"], 1)
 
     def test_keyed_refused_retried_and_broken_requests_have_an_event(self) -> None:
         plain, keyed = self.request(), self.request((b"idempotency-key", b"k"))
-        self.observer.completed(keyed, Completed(None, 200, Verdict.RAN, "ok"))
-        self.observer.completed(plain, Completed(None, 503, Verdict.NOT_RUN, "no-slot"))
+        self.observer.on_completed(keyed, CompletedRequest(None, 200, Verdict.RAN, "ok"))
+        self.observer.on_completed(plain, CompletedRequest(None, 503, Verdict.NOT_RUN, "no-slot"))
         failure = BackendFailure(Verdict.MAY_HAVE_RUN, "reset")
-        self.observer.failed(plain, BackendAddress("127.1.1.1", 1), failure, again=True)
-        self.observer.broken(plain, "short")
+        self.observer.on_exchange_failed(plain, BackendAddress("127.1.1.1", 1), failure, again=True)
+        self.observer.on_reply_broken(plain, "short")
         names = ["request-answered", "request-refused", "request-retried", "request-broken"]
         self.assertEqual(self.events(), [(name, "r1") for name in names])
 
--- a/tests/cover/test_quarantine.py
+++ b/tests/cover/test_quarantine.py
@@ -12,7 +12,7 @@
 
 from tests.common.fake_peers import FakeNetwork, FakePeers
 from tests.common.fake_platform import FakePlatform
-from tests.common.steering_parts import Told
+from tests.common.steering_parts import CrashReportRecorder
 from wagtailpoint.discovery.entries import ServerStart
 from wagtailpoint.discovery.kind_state import KindState, state_from_listing
 from wagtailpoint.fingerprint import fingerprint
@@ -63,7 +63,7 @@
     """A quarantine, and what it tells."""
 
     def __init__(self) -> None:
-        self.told = Told()
+        self.told = CrashReportRecorder()
         self.quarantine = Quarantine(others=self.told)
 
     def crash(self, *servers: int, name: str = NAME) -> None:
--- a/tests/cover/test_reach_probe.py
+++ b/tests/cover/test_reach_probe.py
@@ -14,7 +14,7 @@
 from wagtailpoint.placement.placement import Placement
 from wagtailpoint.ports.backend import FailureReason
 from wagtailpoint.proxy.backend_pool import BackendPool
-from wagtailpoint.proxy.reach_probe import ReachProbe
+from wagtailpoint.proxy.reachability_probe import ReachabilityProbe
 
 
 class FakePool:
@@ -30,7 +30,7 @@
         return None if self.back else FailureReason.CONNECT_TIMEOUT
 
 
-class ReachProbeTest(unittest.TestCase):
+class ReachabilityProbeTest(unittest.TestCase):
     def setUp(self) -> None:
         logger.disable("wagtailpoint")
         self.addCleanup(logger.enable, "wagtailpoint")
@@ -41,7 +41,7 @@
         async def run() -> None:
             self.fleet.update([make_server("i-1")])
             placement = make_placement(self.fleet)
-            probe = ReachProbe(
+            probe = ReachabilityProbe(
                 placement=placement,
                 pool=cast(BackendPool, cast(Any, self.pool)),
                 random=Random(1),
--- a/tests/cover/test_region_mix.py
+++ b/tests/cover/test_region_mix.py
@@ -11,7 +11,7 @@
 from trio.testing import MockClock
 
 from tests.common.steering_parts import (
-    MOST_SHIFT,
+    MAX_SHIFT,
     REGION_OF,
     make_placement,
     make_route,
@@ -83,8 +83,8 @@
             for _ in range(6):
                 shares.append(await self.far_share(near_load=12))
             steps = [later - sooner for sooner, later in pairwise(shares)]
-            self.assertLess(max(steps), MOST_SHIFT)
-            self.assertGreater(shares[-1], shares[0] + MOST_SHIFT)
+            self.assertLess(max(steps), MAX_SHIFT)
+            self.assertGreater(shares[-1], shares[0] + MAX_SHIFT)
 
         self.run_with(test)
 
@@ -105,8 +105,8 @@
             for _ in range(6):
                 shares.append(await self.far_share(near_load=12, placements=placements))
             steps = [later - sooner for sooner, later in pairwise(shares)]
-            self.assertLess(max(steps), MOST_SHIFT)
-            self.assertGreater(shares[-1], shares[0] + MOST_SHIFT)
+            self.assertLess(max(steps), MAX_SHIFT)
+            self.assertGreater(shares[-1], shares[0] + MAX_SHIFT)
 
         self.run_with(test)
 
--- a/tests/cover/test_shared_bounds.py
+++ b/tests/cover/test_shared_bounds.py
@@ -11,27 +11,28 @@
 from wagtailpoint.membership import Member
 from wagtailpoint.placement.cold_pacing import ColdBound, ColdPacing
 from wagtailpoint.placement.cold_senders import ColdSenders
-from wagtailpoint.proxy.repeat_budget import RepeatBound, RepeatBudget
+from wagtailpoint.proxy.shared_retry_budget import RetryBound, SharedRetryBudget
 
 START = ServerStart("i-1", 0)
 
 
-class RepeatBudgetTest(unittest.TestCase):
+class SharedRetryBudgetTest(unittest.TestCase):
     def test_sum_over_instances_keeps_the_bound(self) -> None:
         budgets = [
-            RepeatBudget(bound=lambda: RepeatBound(0.2, 58), divisor=lambda: 9.0) for _ in range(9)
+            SharedRetryBudget(bound=lambda: RetryBound(0.2, 58), divisor=lambda: 9.0)
+            for _ in range(9)
         ]
         spent = 0
         for budget in budgets:
             for _ in range(100):
-                budget.note_request("desk")
+                budget.record_request("desk")
                 while budget.take("desk"):
                     spent += 1
         self.assertLessEqual(spent, 0.2 * 900 + 58)
         self.assertGreater(spent, 0.1 * 900)
 
     def test_services_have_budgets_of_their_own(self) -> None:
-        budget = RepeatBudget(bound=lambda: RepeatBound(0.2, 10), divisor=lambda: 1.0)
+        budget = SharedRetryBudget(bound=lambda: RetryBound(0.2, 10), divisor=lambda: 1.0)
         while budget.take("desk"):
             pass
         self.assertTrue(budget.take("vault"))
--- a/tests/cover/test_warm_up.py
+++ b/tests/cover/test_warm_up.py
@@ -10,7 +10,7 @@
 from tests.common.steering_parts import make_distances, make_server
 from wagtailpoint.discovery.entries import ServerEntry
 from wagtailpoint.proxy.backend_pool import BackendPool
-from wagtailpoint.proxy.warm_up import MOST_WARM, WARM_UP_S, WarmUp
+from wagtailpoint.proxy.connection_warm_up import MOST_WARM, WARM_UP_S, ConnectionWarmUp
 
 
 class FakePool:
@@ -30,14 +30,14 @@
         self._opened_at[entry.server_id] = trio.current_time()
 
 
-class WarmUpTest(unittest.TestCase):
+class ConnectionWarmUpTest(unittest.TestCase):
     def opened(
         self, entries: list[ServerEntry], lasts_s: float = 100.0, *, is_entry: bool = True
     ) -> list[str]:
         pool = FakePool(lasts_s)
 
         async def run() -> None:
-            await WarmUp(
+            await ConnectionWarmUp(
                 entries=lambda: entries,
                 pool=cast(BackendPool, cast(Any, pool)),
                 distances=make_distances(),
