--- a/bench/keys.py
+++ b/bench/keys.py
@@ -27,9 +27,9 @@
         incarnation=new_incarnation(),
         clock=SystemClock(),
         epoch_s=3600.0,
-        most_keys=KEYS_FULL * 2,
-        most_answer_bytes=10_000,
-        most_kept_bytes=100_000_000,
+        max_keys=KEYS_FULL * 2,
+        max_answer_bytes=10_000,
+        max_kept_bytes=100_000_000,
     )
 
 
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,7 +1,8 @@
 """What the choice of backend servers is worth, on a model of the two deployments of today.
 
     python -m bench.placement
-    python -m bench.placement --seconds 30 --set cached_part.TARGET_UTILISATION=0.5 --plot out.png
+    python -m bench.placement --seconds 30 --set cached_fraction.TARGET_UTILISATION=0.5 \
+        --plot out.png
 
 ``--set`` replaces constants of ``wagtailpoint.placement`` for one run, to try an idea before it is
 played on the users' bench. Two seeds differ by about 0.01 of worth.
--- a/bench/system_model.py
+++ b/bench/system_model.py
@@ -19,7 +19,7 @@
 
 from wagtailpoint.discovery.entries import ServerEntry
 from wagtailpoint.discovery.fleet import Fleet
-from wagtailpoint.placement.cached_part import CachedPart
+from wagtailpoint.placement.cached_fraction import CachedFraction
 from wagtailpoint.placement.choice import Choice, Demand, Observation
 from wagtailpoint.placement.cold_pacing import ColdBound, ColdPacing
 from wagtailpoint.placement.distances import Distances
@@ -303,7 +303,7 @@
             region_of=deployment.region_of,
         )
         for other in deployment.region_of:
-            distances.note_opened(other, deployment.round_trip_s(domain, other))
+            distances.record_connect_time(other, deployment.round_trip_s(domain, other))
 
         region = deployment.region_of[domain]
         entries = FixedEntryCounts(
@@ -319,10 +319,11 @@
             fleet=fleet,
             distances=distances,
             cold=ColdPacing(
-                bound=lambda: ColdBound(1.5, 5.0), sharing=lambda start, region, wanted: instances
+                bound=lambda: ColdBound(1.5, 5.0),
+                count_senders=lambda start, region, wanted: instances,
             ),
-            cached_part=CachedPart(fleet=fleet, entries=entries),
-            mix=RegionMix(most_shift=lambda: MOST_SHIFT, random=self._random),
+            cached_fraction=CachedFraction(fleet=fleet, entries=entries),
+            mix=RegionMix(max_shift=lambda: MOST_SHIFT, random=self._random),
             entries=entries,
         )
 
@@ -372,26 +373,26 @@
         elapsed_s = trio.current_time() - began
         left_s = sent.deadline_s - elapsed_s
         demand = Demand(route, sent.service, None, key, (), left_s, sent.objective_s - elapsed_s)
-        placement.note_request(demand)
+        placement.record_request(demand)
         choice = placement.choose(demand)
         if not isinstance(choice, Choice):
             return ""
         sent_at = trio.current_time()
         way_s = self._deployment.round_trip_s(domain, choice.entry.failure_domain) / 2
-        underway = placement.began(demand, choice)
+        underway = placement.record_send(demand, choice)
         await trio.sleep(way_s)
         server = self._servers.get(choice.entry.server_id)
         if server is None:
             # It was lost on the way; the caller comes back once.
-            placement.ended(choice.entry, underway)
+            placement.record_end(choice.entry, underway)
             return ""
         ran = await server.serve(key, sent.work_s, max(0.0, left_s - way_s))
         report = server.report
         await trio.sleep(way_s)
         latency_s = trio.current_time() - sent_at
         seen = Observation(latency_s, sent.reply_bytes, False, not ran, report, 0.0)
-        placement.note_answer(demand, choice, seen)
-        placement.ended(choice.entry, underway)
+        placement.record_answer(demand, choice, seen)
+        placement.record_end(choice.entry, underway)
         return choice.entry.failure_domain if ran else ""
 
 
@@ -403,9 +404,9 @@
         timeout_s=sent.deadline_s,
         objective_s=sent.objective_s,
         priority=sent.priority,
-        most_attempts=2,
+        max_attempts=2,
         sticky=True,
-        homes=None,
+        home_regions=None,
         parts=(SplitPart(sent.service, 1.0),),
     )
 
--- a/src/wagtailpoint/caller/caller.py
+++ b/src/wagtailpoint/caller/caller.py
@@ -33,7 +33,7 @@
 from wagtailpoint.caller.keys import BoundKey, CallerKeys
 from wagtailpoint.errors import RequestUnanswered
 from wagtailpoint.retries.budget import RetryBudget
-from wagtailpoint.retries.policy import MOST_ATTEMPTS, may_retry
+from wagtailpoint.retries.policy import MAX_ATTEMPTS, decide_retry
 from wagtailpoint.verdict import Verdict
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD"})
@@ -146,7 +146,7 @@
         """
         until = trio.current_time() + deadline_s
         outgoing = self._outgoing(method, path, headers, body)
-        self._budget.note_fresh()
+        self._budget.record_request()
         if idempotency_key is not None and method not in IDEMPOTENT_METHODS:
             return await self._send_keyed(outgoing, idempotency_key, until)
         result, entry = await self._send(outgoing, until, whole=True)
@@ -173,7 +173,7 @@
         outgoing = self._outgoing(method, path, headers, b"")
 
         async def reopen(extra: Headers) -> tuple[OpenReply | Reply, EntryAddress]:
-            self._budget.note_fresh()
+            self._budget.record_request()
             wanted = outgoing._replace(headers=[*outgoing.headers, *extra])
             until = trio.current_time() + deadline_s
             result, entry = await self._send(wanted, until, whole=False)
@@ -281,7 +281,7 @@
         self, result: OpenReply | Reply | Broken, idempotent: bool, attempts: int, until: float
     ) -> bool:
         verdict = _verdict(result)
-        decision = may_retry(
+        decision = decide_retry(
             idempotent=idempotent,
             verdict=verdict,
             response_started=False,
@@ -314,7 +314,7 @@
 
 def _attempt_until(until: float, attempts: int) -> float:
     """Leave half of the time for a repeat, in case the entry is frozen."""
-    if attempts + 1 >= MOST_ATTEMPTS:
+    if attempts + 1 >= MAX_ATTEMPTS:
         return until
     now = trio.current_time()
     return now + (until - now) / 2
--- a/src/wagtailpoint/daemon/instance.py
+++ b/src/wagtailpoint/daemon/instance.py
@@ -142,15 +142,15 @@
             incarnation=incarnation,
             clock=self._clock,
             epoch_s=timings.epoch_s,
-            most_keys=settings.limits.keys,
-            most_answer_bytes=MOST_KEPT_ANSWER_BYTES,
+            max_keys=settings.limits.keys,
+            max_answer_bytes=MOST_KEPT_ANSWER_BYTES,
         )
         self._claims = Claims(
             platform=self._platform,
             clock=self._clock,
             incarnation=incarnation,
             address=name,
-            keep_s=CLAIM_EPOCHS * timings.epoch_s,
+            retention_s=CLAIM_EPOCHS * timings.epoch_s,
         )
         self._moves = MoveBoard(
             clock=self._clock,
@@ -280,7 +280,7 @@
     async def _clean_claims(self) -> None:
         while True:
             await trio.sleep(CLAIMS_CLEANING_S)
-            await self._claims.remove_old()
+            await self._claims.remove_expired()
 
     def _own_fact(self, incarnation: str) -> Fact:
         settings = self._settings
--- a/src/wagtailpoint/daemon/servers.py
+++ b/src/wagtailpoint/daemon/servers.py
@@ -115,7 +115,7 @@
             return {}
         # Of equals the first is taken: without turns an idle entry would always ask the same one.
         turn = next(self._turns) % len(usable)
-        return group.nearness.tiers_of(usable[turn:] + usable[:turn])
+        return group.nearness.assign_tiers(usable[turn:] + usable[:turn])
 
     def _group(self, config: EffectiveConfig, service: str, name: str) -> _Group:
         if config is not self._groups_of:
--- a/src/wagtailpoint/daemon/steering.py
+++ b/src/wagtailpoint/daemon/steering.py
@@ -33,7 +33,7 @@
 from wagtailpoint.observe.hlc import HybridClock
 from wagtailpoint.observe.log import log_event
 from wagtailpoint.observe.metrics import Metrics
-from wagtailpoint.placement.cached_part import CachedPart
+from wagtailpoint.placement.cached_fraction import CachedFraction
 from wagtailpoint.placement.cold_pacing import ColdBound, ColdPacing
 from wagtailpoint.placement.cold_senders import ColdSenders
 from wagtailpoint.placement.distances import Distances
@@ -255,15 +255,15 @@
             distances=self._distances,
             cold=ColdPacing(
                 bound=self._cold_bound,
-                sharing=ColdSenders(
+                count_senders=ColdSenders(
                     own=self._settings.callers.address,
                     members=self._membership.members,
                     instances=self._instances,
-                ).sharing,
+                ).count_senders,
             ),
-            cached_part=CachedPart(fleet=self._fleet, entries=self._role.around),
+            cached_fraction=CachedFraction(fleet=self._fleet, entries=self._role.around),
             mix=RegionMix(
-                most_shift=lambda: self._settings_file.bounds.region_shift_max,
+                max_shift=lambda: self._settings_file.bounds.region_shift_max,
                 random=self._random,
             ),
             entries=self._role.around,
@@ -368,7 +368,7 @@
                 await self._some_gone.wait()
             gone, self._gone[:] = list(self._gone), []
             for start in gone:
-                self._placement.forget(start)
+                self._placement.remove(start)
                 await self._pool.close(start)
 
     async def _stop(self) -> None:
--- a/src/wagtailpoint/entry/forwarding.py
+++ b/src/wagtailpoint/entry/forwarding.py
@@ -26,7 +26,7 @@
 from wagtailpoint.ports.clock import Clock
 from wagtailpoint.quarantine.quarantine import Admission, Quarantine
 from wagtailpoint.retries.budget import RetryBudget
-from wagtailpoint.retries.policy import may_retry
+from wagtailpoint.retries.policy import decide_retry
 from wagtailpoint.verdict import Verdict
 
 NOT_FORWARDED = (
@@ -125,7 +125,7 @@
     async def _forward(self, planned: PlannedRequest, sink: ResponseSink) -> Result[None, Refusal]:
         plan, fingerprint = planned.plan, planned.fingerprint
         budget = self._budget(plan)
-        budget.note_fresh()
+        budget.record_request()
         tried: list[Attempt] = []
         while True:
             if self._quarantine.admission(fingerprint) is Admission.QUARANTINED:
@@ -155,7 +155,7 @@
                 return Ok(None)
             tried += attempts
             failure = attempts[-1].failure
-            decision = may_retry(
+            decision = decide_retry(
                 idempotent=plan.route.idempotent,
                 verdict=failure.verdict,
                 response_started=False,
@@ -204,7 +204,7 @@
         """A slot for a second copy; only an idle one, and out of the retry budget."""
         if not self._slots.has_idle(first.pool) or self.remaining(plan) < LEAST_EXCHANGE_S:
             return None
-        if not self._budget(plan).take(keep=BUDGET_KEPT):
+        if not self._budget(plan).take(reserve_fraction=BUDGET_KEPT):
             return None
         return self._slots.take_idle(self._demand(plan, [first.server]))
 
--- a/src/wagtailpoint/entry/replies.py
+++ b/src/wagtailpoint/entry/replies.py
@@ -5,7 +5,7 @@
 from wagtailpoint.entry.observer import CompletedRequest
 from wagtailpoint.entry.plan import Plan
 from wagtailpoint.entry.request import ReplySink, without_headers
-from wagtailpoint.idempotency.outcome import Answered, NotRun, Outcome, repeat_of
+from wagtailpoint.idempotency.outcome import Answered, NotRun, Outcome, replay_outcome
 from wagtailpoint.verdict import Verdict
 
 
@@ -14,7 +14,7 @@
     if isinstance(outcome, NotRun):
         # The first to be told, and those that joined it, get the refusal itself.
         return await send_refusal(sink, outcome.refusal, plan)
-    repeat = repeat_of(outcome)
+    repeat = replay_outcome(outcome)
     if isinstance(repeat, Refusal):
         return await send_refusal(sink, repeat, plan)
     return await send_answer(sink, repeat, plan)
--- a/src/wagtailpoint/entry/service.py
+++ b/src/wagtailpoint/entry/service.py
@@ -33,7 +33,7 @@
 from wagtailpoint.idempotency.bound_entry import BoundEntries
 from wagtailpoint.idempotency.claims import Claimed, Claims, NotClaimed
 from wagtailpoint.idempotency.keys import (
-    Begin,
+    BeginResult,
     Join,
     KeyStore,
     Reject,
@@ -223,7 +223,9 @@
                 return await send_outcome(sink, outcome, plan)
         return await self._reply_keyed(begun, plan, sink)
 
-    async def _reply_keyed(self, begun: Begin, plan: Plan, sink: ReplySink) -> CompletedRequest:
+    async def _reply_keyed(
+        self, begun: BeginResult, plan: Plan, sink: ReplySink
+    ) -> CompletedRequest:
         match begun:
             case Join(attempt):
                 outcome: Outcome = MayHaveRun("still in flight at the deadline")
--- a/src/wagtailpoint/idempotency/claims.py
+++ b/src/wagtailpoint/idempotency/claims.py
@@ -75,8 +75,8 @@
         clock: Clock,
         incarnation: str,
         address: str,
-        keep_s: float,
-        most_held: int = 10_000,
+        retention_s: float,
+        max_held: int = 10_000,
     ) -> None:
         """Make it without any claim.
 
@@ -85,15 +85,15 @@
             clock: Tells when a claim is old.
             incarnation: This process.
             address: Where this process listens, as ``ADDRESS:PORT``.
-            keep_s: How long a claim is kept, in seconds: at least two epochs, and longer than any
-                caller repeats a key without a binding.
-            most_held: Claims held at most; beyond it new keys are refused.
+            retention_s: How long a claim is kept, in seconds: at least two epochs, and longer than
+                any caller retries a key without a binding.
+            max_held: Claims held at most; beyond it new keys are refused.
         """
         self._platform = platform
         self._clock = clock
         self._value = ClaimValue(incarnation=incarnation, address=address)
-        self._keep_s = keep_s
-        self._most_held = most_held
+        self._keep_s = retention_s
+        self._most_held = max_held
         self._held: dict[str, _Held] = {}
 
     @property
@@ -139,7 +139,7 @@
             self._held[name] = held._replace(spent=False)
             await self._remove(name, held)
 
-    async def remove_old(self) -> int:
+    async def remove_expired(self) -> int:
         """Remove the claims that were kept long enough; returns how many were removed."""
         oldest = self._clock.monotonic() - self._keep_s
         old = [(name, held) for name, held in self._held.items() if held.since <= oldest]
--- a/src/wagtailpoint/idempotency/keys.py
+++ b/src/wagtailpoint/idempotency/keys.py
@@ -14,7 +14,13 @@
 
 from wagtailpoint.admission.refusal import Refusal, RefusalCode, refuse
 from wagtailpoint.idempotency.binding import Binding
-from wagtailpoint.idempotency.outcome import REPEAT_AFTER_S, Answered, NotRun, Outcome, repeat_of
+from wagtailpoint.idempotency.outcome import (
+    REPEAT_AFTER_S,
+    Answered,
+    NotRun,
+    Outcome,
+    replay_outcome,
+)
 from wagtailpoint.ports.clock import Clock
 from wagtailpoint.verdict import Verdict
 
@@ -95,7 +101,7 @@
     refusal: Refusal
 
 
-Begin = Run | Join | Replay | Reject
+BeginResult = Run | Join | Replay | Reject
 
 
 class _Record(NamedTuple):
@@ -118,9 +124,9 @@
         incarnation: str,
         clock: Clock,
         epoch_s: float,
-        most_keys: int,
-        most_answer_bytes: int,
-        most_kept_bytes: int = 16_000_000,
+        max_keys: int,
+        max_answer_bytes: int,
+        max_kept_bytes: int = 16_000_000,
     ) -> None:
         """Make an empty memory.
 
@@ -128,17 +134,17 @@
             incarnation: This process.
             clock: Advances the epochs.
             epoch_s: The length of an epoch, in seconds; longer than any caller caches a lookup.
-            most_keys: Keys remembered at most, those in flight included.
-            most_answer_bytes: The largest body that is kept for a repeat.
-            most_kept_bytes: All kept bodies together; beyond it the oldest are dropped and their
+            max_keys: Keys remembered at most, those in flight included.
+            max_answer_bytes: The largest body that is kept for a repeat.
+            max_kept_bytes: All kept bodies together; beyond it the oldest are dropped and their
                 repeats are told ``ran`` without the answer.
         """
         self._incarnation = incarnation
         self._clock = clock
         self._epoch_s = epoch_s
-        self._most_keys = most_keys
-        self._most_answer_bytes = most_answer_bytes
-        self._most_kept_bytes = most_kept_bytes
+        self._most_keys = max_keys
+        self._most_answer_bytes = max_answer_bytes
+        self._most_kept_bytes = max_kept_bytes
         self._epoch = FIRST_EPOCH
         self._epoch_began = clock.monotonic()
         self._sealed_through = FIRST_EPOCH - 1
@@ -175,7 +181,7 @@
         record = self._record(key.digest())
         return record.outcome if record is not None else None
 
-    def begin(self, key: RequestKey, fingerprint: str, binding: Binding | None) -> Begin:
+    def begin(self, key: RequestKey, fingerprint: str, binding: Binding | None) -> BeginResult:
         """Decide what happens to one copy of a keyed request.
 
         Args:
@@ -252,14 +258,14 @@
 
     def _begin_known(
         self, key: RequestKey, fingerprint: str, under: Binding, record: _Record
-    ) -> Begin | None:
+    ) -> BeginResult | None:
         """Answer a finished key, or return None if a new attempt may run."""
         refused = isinstance(record.outcome, NotRun)
         if refused and under.attempt > record.attempt:
             return None
         if not refused and record.fingerprint != fingerprint:
             return Reject(_key_reused(key))
-        repeat = repeat_of(record.outcome)
+        repeat = replay_outcome(record.outcome)
         return Reject(repeat) if isinstance(repeat, Refusal) else Replay(repeat)
 
     def _check_epoch(self, under: Binding, *, is_new: bool) -> Refusal | None:
@@ -369,11 +375,11 @@
     )
 
 
-def _memory_full(most_keys: int, retry_after_s: float) -> Refusal:
+def _memory_full(max_keys: int, retry_after_s: float) -> Refusal:
     return refuse(
         HTTPStatus.SERVICE_UNAVAILABLE,
         RefusalCode.KEY_MEMORY_FULL,
-        f"this entry remembers {most_keys} keys and can take no more; use another entry",
+        f"this entry remembers {max_keys} keys and can take no more; use another entry",
         retry_after_s,
     )
 
--- a/src/wagtailpoint/idempotency/outcome.py
+++ b/src/wagtailpoint/idempotency/outcome.py
@@ -42,12 +42,12 @@
 
 
 @singledispatch
-def repeat_of(outcome: Outcome) -> Answered | Refusal:
+def replay_outcome(outcome: Outcome) -> Answered | Refusal:
     """Return what a repeat of a finished key is answered."""
     raise TypeError(f"no rule for a repeat of {outcome!r}")
 
 
-@repeat_of.register
+@replay_outcome.register
 def _(outcome: Answered) -> Answered | Refusal:
     if outcome.body is not None:
         return outcome
@@ -61,7 +61,7 @@
     )
 
 
-@repeat_of.register
+@replay_outcome.register
 def _(outcome: MayHaveRun) -> Answered | Refusal:
     return Refusal(
         HTTPStatus.CONFLICT,
@@ -72,7 +72,7 @@
     )
 
 
-@repeat_of.register
+@replay_outcome.register
 def _(outcome: NotRun) -> Answered | Refusal:
     refused = outcome.refusal
     return refused._replace(
--- a/src/wagtailpoint/locality/nearness.py
+++ b/src/wagtailpoint/locality/nearness.py
@@ -6,7 +6,7 @@
 
 from wagtailpoint.config.model import BackendServer, Region
 
-LEAST_USABLE_PART: Final = 0.5
+MIN_USABLE_FRACTION: Final = 0.5
 """With less than this part of the nearest region's backend servers usable, the next region is used
 alike. The few that are left would otherwise be filled to the last slot before anything spills over,
 and one more failure would meet them at their worst."""
@@ -43,7 +43,7 @@
         self._nearest_count = sum(tier == 0 for tier in self._tiers.values())
         self._failure_domain = failure_domain
 
-    def tiers_of(self, usable: Sequence[BackendServer]) -> dict[BackendServer, int]:
+    def assign_tiers(self, usable: Sequence[BackendServer]) -> dict[BackendServer, int]:
         """The tier of each usable backend server, lower is better, in order of preference.
 
         Args:
@@ -51,7 +51,7 @@
                 among those that are equally near.
         """
         nearest = sum(self._tiers[server] == 0 for server in usable)
-        joined = nearest < LEAST_USABLE_PART * self._nearest_count
+        joined = nearest < MIN_USABLE_FRACTION * self._nearest_count
         tiers = {server: max(0, self._tiers[server] - joined) for server in usable}
         order = sorted(usable, key=lambda server: (tiers[server], not self._is_own(server)))
         return {server: tiers[server] for server in order}
--- a/src/wagtailpoint/placement/cached_part.py
+++ b/src/wagtailpoint/placement/cached_fraction.py
@@ -52,7 +52,7 @@
         self.at = now
 
 
-class CachedPart:
+class CachedFraction:
     """For each service and failure domain, the part of the keys that shall be cached there.
 
     A failure domain with few backend servers can't serve all the keys of its callers. Were they
@@ -74,7 +74,7 @@
         self._entries = entries
         self._demands: dict[str, _ServiceDemand] = {}
 
-    def note_request(self, service: str, service_s: float) -> None:
+    def record_request(self, service: str, service_s: float) -> None:
         """A request came that will hold a slot for so many seconds if its object is cached."""
         now = trio.current_time()
         demand = self._demand(service, now)
--- a/src/wagtailpoint/placement/choice.py
+++ b/src/wagtailpoint/placement/choice.py
@@ -21,8 +21,8 @@
         policy: What the configuration says of the service.
         key: Its affinity key; empty if it has none.
         tried: Backend servers that it was sent to before.
-        left_s: Seconds left until its deadline.
-        objective_left_s: Seconds left in which an answer has its full value.
+        remaining_s: Seconds left until its deadline.
+        objective_remaining_s: Seconds left in which an answer has its full value.
     """
 
     route: HostRoute
@@ -30,8 +30,8 @@
     policy: ServicePolicy | None
     key: str
     tried: Collection[str]
-    left_s: float
-    objective_left_s: float
+    remaining_s: float
+    objective_remaining_s: float
 
 
 class Choice(NamedTuple):
@@ -72,7 +72,7 @@
     report_age_s: float
 
 
-class NoRoom(NamedTuple):
+class NotPlaced(NamedTuple):
     """Why a request can't be sent now.
 
     Attributes:
--- a/src/wagtailpoint/placement/cold_pacing.py
+++ b/src/wagtailpoint/placement/cold_pacing.py
@@ -51,28 +51,28 @@
         self,
         *,
         bound: Callable[[], ColdBound],
-        sharing: Callable[[ServerStart, str, int], int],
+        count_senders: Callable[[ServerStart, str, int], int],
     ) -> None:
         """Make it.
 
         Args:
             bound: Of all instances together, as it is now.
-            sharing: Given a backend server, its region and how many may share it: how many
+            count_senders: Given a backend server, its region and how many may share it: how many
                 instances do, 0 if this one does not.
         """
         self._bound = bound
-        self._sharing = sharing
+        self._count_senders = count_senders
         self._buckets: dict[ServerStart, _Bucket] = {}
 
     def may_send(self, start: ServerStart, region: str, cold_per_s: float) -> bool:
         """Whether a request may go to a cold backend server now."""
         return self._refilled(start, region, cold_per_s).tokens >= 1.0
 
-    def note_sent(self, start: ServerStart, region: str, cold_per_s: float) -> None:
+    def record_sent(self, start: ServerStart, region: str, cold_per_s: float) -> None:
         """Spend what a request costs."""
         self._refilled(start, region, cold_per_s).tokens -= 1.0
 
-    def forget(self, start: ServerStart) -> None:
+    def remove(self, start: ServerStart) -> None:
         """Forget a backend server that is gone."""
         self._buckets.pop(start, None)
 
@@ -82,7 +82,7 @@
         if bucket is None:
             bucket = self._buckets[start] = _Bucket(now)
         bound = SAFETY * self._bound().per_second(cold_per_s)
-        sharing = self._sharing(start, region, max(1, int(bound / SENDER_PER_S)))
+        sharing = self._count_senders(start, region, max(1, int(bound / SENDER_PER_S)))
         # A part below one burst is no part: the bursts of all would come in the same second.
         rate = bound / sharing - BURST if sharing else -1.0
         burst = BURST if rate >= 0 else 0.0
--- a/src/wagtailpoint/placement/cold_senders.py
+++ b/src/wagtailpoint/placement/cold_senders.py
@@ -48,7 +48,7 @@
         self._newest: dict[str, Member] = {}
         self._able: frozenset[str] = frozenset()
 
-    def sharing(self, start: ServerStart, region: str, wanted: int) -> int:
+    def count_senders(self, start: ServerStart, region: str, wanted: int) -> int:
         """How many instances share what a backend server bears; 0 if this one has no part.
 
         Args:
--- a/src/wagtailpoint/placement/distances.py
+++ b/src/wagtailpoint/placement/distances.py
@@ -5,7 +5,7 @@
 
 OWN_DOMAIN_S: Final = 0.001
 OWN_REGION_S: Final = 0.003
-OTHER_REGION_S: Final = 0.1
+INITIAL_OTHER_REGION_ROUND_TRIP_S: Final = 0.1
 """Round trips that are assumed before any was measured, in seconds: failure domains are about 1 ms
 apart one way, regions 20 to 55 ms. Too long is safer than too short: a region that looks too near
 gets requests that can't be answered in time."""
@@ -49,7 +49,7 @@
         """Whether a connection was ever opened to a backend server there."""
         return failure_domain in self._measured
 
-    def note_opened(self, failure_domain: str, seconds: float) -> None:
+    def record_connect_time(self, failure_domain: str, seconds: float) -> None:
         """A connection to a backend server there took so long to open."""
         believed = self.round_trip_s(failure_domain)
         if failure_domain not in self._measured:
@@ -70,4 +70,8 @@
     def _assumed_s(self, failure_domain: str) -> float:
         if failure_domain == self._failure_domain:
             return OWN_DOMAIN_S
-        return OWN_REGION_S if self.is_own_region(failure_domain) else OTHER_REGION_S
+        return (
+            OWN_REGION_S
+            if self.is_own_region(failure_domain)
+            else INITIAL_OTHER_REGION_ROUND_TRIP_S
+        )
--- a/src/wagtailpoint/placement/learned.py
+++ b/src/wagtailpoint/placement/learned.py
@@ -46,7 +46,7 @@
             cost = self._costs[route.name, service] = RouteCost(objective_s=route.objective_s)
         return cost
 
-    def note_answer(
+    def record_answer(
         self, route: HostRoute, service: str, service_s: float, reply_bytes: int, now: float
     ) -> None:
         """Take note of what one request of a route took at a service."""
@@ -70,7 +70,7 @@
             reuse = self._reuse[route.name] = KeyReuse()
         return reuse
 
-    def forget(self, start: ServerStart) -> None:
+    def remove(self, start: ServerStart) -> None:
         """Forget a backend server that is gone, or has started again."""
         load = self._loads.get(start)
         if load is not None and load.in_flight == 0:
--- a/src/wagtailpoint/placement/placement.py
+++ b/src/wagtailpoint/placement/placement.py
@@ -7,12 +7,12 @@
 
 from wagtailpoint.discovery.entries import ServerEntry, ServerStart
 from wagtailpoint.discovery.fleet import Fleet
-from wagtailpoint.placement.cached_part import CachedPart
+from wagtailpoint.placement.cached_fraction import CachedFraction
 from wagtailpoint.placement.choice import (
     Choice,
     Declined,
     Demand,
-    NoRoom,
+    NotPlaced,
     Observation,
     is_hopeless,
     loss_of,
@@ -43,7 +43,7 @@
         fleet: Fleet,
         distances: Distances,
         cold: ColdPacing,
-        cached_part: CachedPart,
+        cached_fraction: CachedFraction,
         mix: RegionMix,
         entries: EntryCounts,
     ) -> None:
@@ -53,14 +53,14 @@
             fleet: The backend servers.
             distances: How far they are.
             cold: Paces those that are cold.
-            cached_part: Which keys each failure domain holds.
+            cached_fraction: Which keys each failure domain holds.
             mix: In which regions requests run.
             entries: How many instances share the callers.
         """
         self._fleet = fleet
         self._distances = distances
         self._cold = cold
-        self._cached_part = cached_part
+        self._cached_part = cached_fraction
         self._mix = mix
         self._learned = Learned()
         self._utilisation = Utilisation(fleet=fleet, distances=distances, learned=self._learned)
@@ -71,7 +71,7 @@
             fleet=fleet,
             distances=distances,
             cold=cold,
-            cached_part=cached_part,
+            cached_fraction=cached_fraction,
             learned=self._learned,
             entries=entries,
         )
@@ -80,24 +80,24 @@
         """What is believed of a backend server since its start."""
         return self._learned.load_of(entry)
 
-    def note_request(self, demand: Demand) -> None:
+    def record_request(self, demand: Demand) -> None:
         """A request of a caller came."""
         cost = self._learned.cost_of(demand.route, demand.service)
         now = trio.current_time()
-        self._cached_part.note_request(demand.service, cost.service_s(now))
+        self._cached_part.record_request(demand.service, cost.service_s(now))
         self._learned.reuse_of(demand.route).note(demand.key, now)
 
-    def choose(self, demand: Demand) -> Choice | NoRoom:
+    def choose(self, demand: Demand) -> Choice | NotPlaced:
         """Choose where a request goes."""
         now = trio.current_time()
-        order = self._ranking.of(demand.service, demand.key, demand.route.homes)
+        order = self._ranking.of(demand.service, demand.key, demand.route.home_regions)
         # When all are suspect the suspicion is of no use: the fault may be on our side.
         reachable = [
             each for each in order.ranked if not self._is_suspect(each.candidate.entry, now)
         ] or order.ranked
         untried = [each for each in reachable if each.candidate.entry.server_id not in demand.tried]
         if not untried:
-            return NoRoom("no backend server")
+            return NotPlaced("no backend server")
         wanted = self._wanted(order.ranked, reachable, now)
         utilisation = self._utilisation.of(demand.service, now)
 
@@ -110,10 +110,10 @@
         weighed = [weigh(each) for each in left]
         choices = [each for each in weighed if isinstance(each, Choice)]
         if not choices:
-            return NoRoom("no room", [each for each in weighed if isinstance(each, Declined)])
-        best = self._least_loss(choices, demand.left_s, now)
-        if is_hopeless(best, demand.left_s):
-            return NoRoom("too late")
+            return NotPlaced("no room", [each for each in weighed if isinstance(each, Declined)])
+        best = self._least_loss(choices, demand.remaining_s, now)
+        if is_hopeless(best, demand.remaining_s):
+            return NotPlaced("too late")
         return best
 
     def _wanted(
@@ -147,31 +147,31 @@
         ]
         return min(others, key=loss_of, default=best)
 
-    def began(self, demand: Demand, choice: Choice) -> Underway:
+    def record_send(self, demand: Demand, choice: Choice) -> Underway:
         """A request is sent."""
         entry = choice.entry
         now = trio.current_time()
         self._mix.note(choice.region, now)
         if self._fleet.is_cold(entry.start):
-            self._cold.note_sent(entry.start, choice.region, cold_per_s(demand.policy))
+            self._cold.record_sent(entry.start, choice.region, cold_per_s(demand.policy))
         stays_s = choice.expected.wait_s + choice.expected.service_s
-        return self.load_of(entry).began(now, stays_s)
+        return self.load_of(entry).record_send(now, stays_s)
 
-    def ended(self, entry: ServerEntry, underway: Underway) -> None:
+    def record_end(self, entry: ServerEntry, underway: Underway) -> None:
         """A request that was sent is over."""
-        self.load_of(entry).ended(underway)
+        self.load_of(entry).record_end(underway)
 
-    def note_answer(self, demand: Demand, choice: Choice, seen: Observation) -> None:
+    def record_answer(self, demand: Demand, choice: Choice, seen: Observation) -> None:
         """Take note of an answer, before ``ended``."""
         now = trio.current_time()
         entry = choice.entry
         load = self.load_of(entry)
         round_trip_s = self._distances.round_trip_s(entry.failure_domain)
         if seen.report is not None:
-            load.note_report(seen.report, now, round_trip_s)
+            load.record_report(seen.report, now, round_trip_s)
         # A full backend server that sheds does what it should; one with room is at fault.
         full = seen.report is not None and seen.report.running >= seen.report.slots
-        load.note_answer(now, failed=seen.failed or (seen.shed and not full))
+        load.record_answer(now, failed=seen.failed or (seen.shed and not full))
         self._fleet.record_cold(entry.start, seen.cold_s)
         if seen.failed or seen.shed:
             return
@@ -180,7 +180,7 @@
         load.note_latency(service_s, expected_s, now)
         self._learned.warm_of(entry).note(demand.key, now)
         if choice.occupancy < entry.slots - 1:
-            self._learned.note_answer(
+            self._learned.record_answer(
                 demand.route, demand.service, service_s, seen.reply_bytes, now
             )
 
@@ -188,7 +188,7 @@
         round_trip_s = self._distances.round_trip_s(entry.failure_domain)
         return self.load_of(entry).is_suspect(now, round_trip_s)
 
-    def rested(self) -> list[ServerEntry]:
+    def servers_to_probe(self) -> list[ServerEntry]:
         """The backend servers that have rested for long enough after a failure to reach them."""
         now = trio.current_time()
         return [
@@ -197,19 +197,19 @@
             if (until := self.load_of(entry).resting_until) is not None and now >= until
         ]
 
-    def note_unreachable(self, entry: ServerEntry) -> float:
+    def record_unreachable(self, entry: ServerEntry) -> float:
         """A backend server could not be reached, or broke off; return how long it rests."""
-        return self.load_of(entry).note_unreachable(trio.current_time())
+        return self.load_of(entry).record_unreachable(trio.current_time())
 
-    def note_reachable(self, entry: ServerEntry) -> None:
+    def record_reachable(self, entry: ServerEntry) -> None:
         """A connection to a backend server opened after it had rested."""
-        self.load_of(entry).note_reachable()
+        self.load_of(entry).record_reachable()
 
-    def note_broken(self, entry: ServerEntry) -> None:
+    def record_broken_exchange(self, entry: ServerEntry) -> None:
         """An exchange broke off; it may be the backend server's fault, or the connection's."""
-        self.load_of(entry).note_answer(trio.current_time(), failed=True)
+        self.load_of(entry).record_answer(trio.current_time(), failed=True)
 
-    def forget(self, start: ServerStart) -> None:
+    def remove(self, start: ServerStart) -> None:
         """Forget a backend server that is gone, or has started again."""
-        self._learned.forget(start)
-        self._cold.forget(start)
+        self._learned.remove(start)
+        self._cold.remove(start)
--- a/src/wagtailpoint/placement/ranking.py
+++ b/src/wagtailpoint/placement/ranking.py
@@ -68,23 +68,23 @@
         self._generation = -1
         self._known: dict[tuple[str, str, frozenset[str] | None], KeyOrder] = {}
 
-    def of(self, service: str, key: str, homes: frozenset[str] | None) -> KeyOrder:
-        """The candidates for a key, in the regions ``homes`` only, unless that is None."""
+    def of(self, service: str, key: str, home_regions: frozenset[str] | None) -> KeyOrder:
+        """The candidates for a key, in the regions ``home_regions`` only, unless that is None."""
         if self._generation != self._fleet.generation or len(self._known) > MOST_REMEMBERED:
             self._known = {}
             self._generation = self._fleet.generation
-        found = self._known.get((service, key, homes))
+        found = self._known.get((service, key, home_regions))
         if found is None:
             position = rendezvous_score(key, "") / _FULL_SCALE
-            found = KeyOrder(position, tuple(self._order(service, key, homes)))
-            self._known[service, key, homes] = found
+            found = KeyOrder(position, tuple(self._order(service, key, home_regions)))
+            self._known[service, key, home_regions] = found
         return found
 
-    def _order(self, service: str, key: str, homes: frozenset[str] | None) -> list[Ranked]:
+    def _order(self, service: str, key: str, home_regions: frozenset[str] | None) -> list[Ranked]:
         allowed = [
             each
             for each in self._fleet.candidates(service)
-            if homes is None or each.region in homes
+            if home_regions is None or each.region in home_regions
         ]
         allowed.sort(key=lambda each: -rendezvous_score(key, each.entry.server_id))
         first_here = next((each for each in allowed if each.region == self._own_region), None)
--- a/src/wagtailpoint/placement/region_mix.py
+++ b/src/wagtailpoint/placement/region_mix.py
@@ -31,15 +31,15 @@
     together can move a large part of a region.
     """
 
-    def __init__(self, *, most_shift: Callable[[], float], random: Random) -> None:
+    def __init__(self, *, max_shift: Callable[[], float], random: Random) -> None:
         """Make it empty.
 
         Args:
-            most_shift: The part of a region's requests that may change the region in which they run
+            max_shift: The part of a region's requests that may change the region in which they run
                 from one window to the next, 0 to 1.
             random: For the rounding.
         """
-        self._most_shift = most_shift
+        self._most_shift = max_shift
         self._random = random
         self._rounding = random.random()
         self._slot = -math.inf
--- a/src/wagtailpoint/placement/server_load.py
+++ b/src/wagtailpoint/placement/server_load.py
@@ -163,17 +163,17 @@
         """Whether it neither fails nor is slow."""
         return self.slowness(now) < SOUND_SLOWNESS and self.error_share(now) < SOUND_ERROR_SHARE
 
-    def began(self, now: float, stays_s: float) -> Underway:
+    def record_send(self, now: float, stays_s: float) -> Underway:
         """A request is sent to it that is expected to stay there for so many seconds."""
         underway = Underway(now, stays_s)
         self._underway.append(underway)
         return underway
 
-    def ended(self, underway: Underway) -> None:
+    def record_end(self, underway: Underway) -> None:
         """A request to it is over, in whatever way."""
         self._underway.remove(underway)
 
-    def note_report(self, report: LoadReport, now: float, round_trip_s: float) -> None:
+    def record_report(self, report: LoadReport, now: float, round_trip_s: float) -> None:
         """Take in a report that came with the response to one of our requests.
 
         Args:
@@ -187,7 +187,7 @@
         self._others_mean = mean + MEAN_GAIN * (self._others - mean)
         self._reported_at = now
 
-    def note_answer(self, now: float, *, failed: bool) -> None:
+    def record_answer(self, now: float, *, failed: bool) -> None:
         """It answered; ``failed`` if with a failure of its own."""
         self._heard_at = now
         self._failures = 0
@@ -210,7 +210,7 @@
         self._error_share *= left
         self._evidence_at = now
 
-    def note_unreachable(self, now: float) -> float:
+    def record_unreachable(self, now: float) -> float:
         """It could not be reached, or broke off; return for how long it rests, in seconds."""
         if self._resting_until is None or now >= self._resting_until:
             self._failures += 1
@@ -218,7 +218,7 @@
         self._resting_until = max(self._resting_until or 0.0, now + rest_s)
         return rest_s
 
-    def note_reachable(self) -> None:
+    def record_reachable(self) -> None:
         """A connection to it opened: requests may be sent, and will show whether it answers."""
         self._resting_until = None
 
--- a/src/wagtailpoint/placement/weighing.py
+++ b/src/wagtailpoint/placement/weighing.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 from wagtailpoint.discovery.fleet import Fleet
-from wagtailpoint.placement.cached_part import CachedPart
+from wagtailpoint.placement.cached_fraction import CachedFraction
 from wagtailpoint.placement.choice import Choice, Declined, Demand
 from wagtailpoint.placement.cold_pacing import ColdPacing
 from wagtailpoint.placement.distances import Distances
@@ -43,7 +43,7 @@
         fleet: Fleet,
         distances: Distances,
         cold: ColdPacing,
-        cached_part: CachedPart,
+        cached_fraction: CachedFraction,
         learned: Learned,
         entries: EntryCounts,
     ) -> None:
@@ -53,14 +53,14 @@
             fleet: The backend servers.
             distances: How far they are.
             cold: Paces those that are cold.
-            cached_part: Which keys each failure domain holds.
+            cached_fraction: Which keys each failure domain holds.
             learned: What this instance knows of backend servers and routes.
             entries: How many instances share the callers.
         """
         self._fleet = fleet
         self._distances = distances
         self._cold = cold
-        self._cached_part = cached_part
+        self._cached_part = cached_fraction
         self._learned = learned
         self._entries = entries
 
@@ -105,7 +105,9 @@
             crosses_domain=ranked.in_region and not ranked.in_domain,
             crosses_region=not ranked.in_region,
         )
-        expected = expect(prospect, objective_s=max(demand.objective_left_s, LEAST_OBJECTIVE_S))
+        expected = expect(
+            prospect, objective_s=max(demand.objective_remaining_s, LEAST_OBJECTIVE_S)
+        )
         if expected.wait_s > _most_wait_s(demand.route, service_s):
             return Declined(entry, "full", occupancy, report_age_s)
         return Choice(entry, region, ranked.rank, cached, expected, occupancy, report_age_s)
--- a/src/wagtailpoint/platform/documents.py
+++ b/src/wagtailpoint/platform/documents.py
@@ -136,7 +136,7 @@
                 each.Name: ServicePolicy(
                     name=each.Name,
                     health_path=each.HealthPath,
-                    most_connections=each.MaxConns,
+                    max_connections=each.MaxConns,
                     cold_s=each.ColdS,
                     cold_per_s=each.ColdPerS,
                 )
@@ -204,9 +204,9 @@
         timeout_s=wire.TimeoutS,
         objective_s=wire.TargetLatencyS,
         priority=wire.Priority,
-        most_attempts=max(1, wire.Attempts),
+        max_attempts=max(1, wire.Attempts),
         sticky=wire.Sticky,
-        homes=_homes(wire.HomeRegions, virtual_host.HomeRegions),
+        home_regions=_homes(wire.HomeRegions, virtual_host.HomeRegions),
         parts=parts,
         public=wire.Public,
     )
@@ -219,7 +219,7 @@
         policy = WorkspacePolicy(
             name=each.Name,
             priority=each.Priority,
-            homes=_homes(each.HomeRegions),
+            home_regions=_homes(each.HomeRegions),
             allowance=Allowance(each.RatePerS, each.Burst) if each.RatePerS else None,
         )
         by_key |= {key_digest(key.encode()): policy for key in each.ApiKeys}
--- a/src/wagtailpoint/proxy/backend_pool.py
+++ b/src/wagtailpoint/proxy/backend_pool.py
@@ -145,7 +145,7 @@
             with trio.move_on_after(CONNECT_SLACK_S + CONNECT_ROUND_TRIPS * round_trip_s):
                 connection = await open_connection(entry.address, self._names)
                 took_s = trio.current_time() - began
-                self._distances.note_opened(entry.failure_domain, took_s)
+                self._distances.record_connect_time(entry.failure_domain, took_s)
                 return connection
         except ConnectionRefusedError as error:
             raise ExchangeFailed(Verdict.NOT_RUN, FailureReason.CONNECT_REFUSED) from error
--- a/src/wagtailpoint/proxy/dispatcher.py
+++ b/src/wagtailpoint/proxy/dispatcher.py
@@ -12,7 +12,7 @@
 from wagtailpoint.limits.allowance_sharing import Spent
 from wagtailpoint.observe.log import log_event
 from wagtailpoint.observe.metrics import LatencyKey, Metrics
-from wagtailpoint.placement.choice import Choice, Declined, NoRoom
+from wagtailpoint.placement.choice import Choice, Declined, NotPlaced
 from wagtailpoint.proxy.caller_exchange import CallerExchange, IncomingRequest
 from wagtailpoint.proxy.headers import (
     HeaderNames,
@@ -29,7 +29,7 @@
 from wagtailpoint.routing.access import AccessRefusal
 from wagtailpoint.routing.split import SplitChooser
 from wagtailpoint.routing.table import HostRoute, RouteTable
-from wagtailpoint.routing.workspaces import logged_digest, sent_key_digest
+from wagtailpoint.routing.workspaces import abbreviate_digest, parse_key_digest
 from wagtailpoint.verdict import Verdict
 
 READ_AHEAD_BYTES = 256 * 1024
@@ -130,7 +130,7 @@
                 version=table.version,
             )
             return
-        key = sent_key_digest(request.headers)
+        key = parse_key_digest(request.headers)
         found = self._key_check.access(table, route, key)
         if isinstance(found, AccessRefusal):
             self._log_key_refused(request, found, key)
@@ -178,7 +178,7 @@
             if refusal is not None:
                 return await self._give_up(job, caller, refusal)
             chosen = self._sender.choose(job)
-            if isinstance(chosen, NoRoom):
+            if isinstance(chosen, NotPlaced):
                 job.declined = chosen.declined
                 return await self._give_up(job, caller, self._no_room(job, chosen.reason))
             if job.left_s < LEAST_EXCHANGE_S:
@@ -234,7 +234,7 @@
             "key-refused",
             id=text(first(request.headers, self._names.request_id)),
             reason=refusal.value,
-            key_digest=logged_digest(key),
+            key_digest=abbreviate_digest(key),
         )
 
     async def _read_body(self, job: Job, caller: CallerExchange) -> bool:
--- a/src/wagtailpoint/proxy/key_check.py
+++ b/src/wagtailpoint/proxy/key_check.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from wagtailpoint.proxy.job import Job
-from wagtailpoint.routing.access import AccessRefusal, access
+from wagtailpoint.routing.access import AccessRefusal, check_access
 from wagtailpoint.routing.table import HostRoute, RouteTable
 from wagtailpoint.routing.workspaces import WorkspacePolicy
 
@@ -32,7 +32,7 @@
     ) -> WorkspacePolicy | AccessRefusal | None:
         """The workspace of a request, None if it needs no key, or why it may not run."""
         needs_key = table.workspaces is not None and not route.public
-        return access(table, route, key, proved=not needs_key or self._is_proved())
+        return check_access(table, route, key, proved=not needs_key or self._is_proved())
 
     def refusal(self, job: Job) -> AccessRefusal | None:
         """Why a request that was admitted may not be sent now; None if it may."""
--- a/src/wagtailpoint/proxy/reachability_probe.py
+++ b/src/wagtailpoint/proxy/reachability_probe.py
@@ -36,14 +36,14 @@
         """Try them until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
-                for entry in self._placement.rested():
+                for entry in self._placement.servers_to_probe():
                     # Until the outcome is known it must not be tried twice.
-                    self._placement.note_unreachable(entry)
+                    self._placement.record_unreachable(entry)
                     nursery.start_soon(self._try, entry)
                 await trio.sleep(LOOK_INTERVAL_S * self._random.uniform(0.8, 1.2))
 
     async def _try(self, entry: ServerEntry) -> None:
         reached = await self._pool.open_spare(entry, "after-failure") is None
         if reached:
-            self._placement.note_reachable(entry)
+            self._placement.record_reachable(entry)
         log_event("server-tried", server=entry.server_id, reached=reached)
--- a/src/wagtailpoint/proxy/sender.py
+++ b/src/wagtailpoint/proxy/sender.py
@@ -7,7 +7,7 @@
 
 from wagtailpoint.discovery.entries import ServerEntry
 from wagtailpoint.observe.log import log_event
-from wagtailpoint.placement.choice import Choice, Demand, NoRoom, Observation
+from wagtailpoint.placement.choice import Choice, Demand, NotPlaced, Observation
 from wagtailpoint.placement.placement import Placement
 from wagtailpoint.placement.server_load import parse_load
 from wagtailpoint.ports.backend import FailureReason
@@ -107,9 +107,9 @@
     def note_request(self, job: Job) -> None:
         """A request of a caller came."""
         self._budget.record_request(job.service)
-        self._placement.note_request(self._demand(job))
+        self._placement.record_request(self._demand(job))
 
-    def choose(self, job: Job) -> Choice | NoRoom:
+    def choose(self, job: Job) -> Choice | NotPlaced:
         """Choose the backend server for the next send."""
         chosen = self._placement.choose(self._demand(job))
         if isinstance(chosen, Choice):
@@ -124,8 +124,10 @@
             policy=job.table.services.get(job.service),
             key=f"{job.route.prefix}{text(key)}" if key else job.request.target,
             tried=job.tried,
-            left_s=job.left_s,
-            objective_left_s=job.request.arrived_at + job.route.objective_s - trio.current_time(),
+            remaining_s=job.left_s,
+            objective_remaining_s=job.request.arrived_at
+            + job.route.objective_s
+            - trio.current_time(),
         )
 
     def may_go_on(self, job: Job) -> bool:
@@ -138,13 +140,13 @@
             return len(job.tried) < MOST_UNREACHED
         if not self._quarantine.may_repeat(job.fingerprint):
             return False
-        return job.sends < job.route.most_attempts and self._budget.take(job.service)
+        return job.sends < job.route.max_attempts and self._budget.take(job.service)
 
     def _may_repeat(self, job: Job) -> bool:
         """Whether another backend server could be tried beside or after those under way."""
         return (
             job.route.idempotent
-            and job.sends < job.route.most_attempts
+            and job.sends < job.route.max_attempts
             and job.body.rest is None
             and self._quarantine.crashes(job.fingerprint) == 0
             and self._budget.left(job.service) >= 1.0
@@ -172,7 +174,7 @@
         if race.settled.is_set() or race.claimed_by or not silent or not self._may_repeat(job):
             return None
         second = self.choose(job)
-        if isinstance(second, NoRoom):
+        if isinstance(second, NotPlaced):
             return None
         self._budget.take(job.service)
         log_event(
@@ -212,7 +214,7 @@
         demand = self._demand(job)
         job.tried.append(entry.server_id)
         job.sends += 1
-        underway = self._placement.began(demand, choice)
+        underway = self._placement.record_send(demand, choice)
         self._quarantine.began(job.fingerprint)
         connection: BackendConnection | None = None
         began = trio.current_time()
@@ -240,7 +242,7 @@
             return None
         finally:
             self._quarantine.ended(job.fingerprint)
-            self._placement.ended(entry, underway)
+            self._placement.record_end(entry, underway)
             if connection is not None:
                 await self._pool.release(entry.start, connection)
         # Only now: a reply that waits for those before it holds neither a slot nor a connection.
@@ -275,9 +277,9 @@
         if error.reason in UNREACHED:
             job.sends -= 1
         if error.reason in UNREACHED or error.silent:
-            rest_s = self._placement.note_unreachable(entry)
+            rest_s = self._placement.record_unreachable(entry)
         elif error.reason is not FailureReason.TIMEOUT:
-            self._placement.note_broken(entry)
+            self._placement.record_broken_exchange(entry)
         job.fail(entry.server_id, error.verdict, error.reason)
         log_event(
             "attempt-failed",
@@ -299,7 +301,7 @@
             return
         failure = await self._pool.open_spare(entry, "crash-check")
         if failure is FailureReason.CONNECT_REFUSED:
-            self._placement.note_unreachable(entry)
+            self._placement.record_unreachable(entry)
             self._quarantine.note_crash(job.crash_report(entry.start))
 
     def _outgoing(self, job: Job, server_id: str) -> OutgoingRequest:
@@ -326,7 +328,7 @@
 
     def _note(self, demand: Demand, choice: Choice, reply: BackendReply, latency_s: float) -> None:
         cold = first(reply.headers, self._names.cold_ms)
-        self._placement.note_answer(
+        self._placement.record_answer(
             demand,
             choice,
             Observation(
--- a/src/wagtailpoint/retries/budget.py
+++ b/src/wagtailpoint/retries/budget.py
@@ -42,18 +42,18 @@
         self._expire()
         return self._whole - sum(part.retries for part in self._slices)
 
-    def note_fresh(self) -> None:
+    def record_request(self) -> None:
         """Count a fresh request."""
         newest = self._newest()
         self._slices[-1] = newest._replace(fresh=newest.fresh + 1)
 
-    def take(self, *, keep: float = 0.0) -> bool:
+    def take(self, *, reserve_fraction: float = 0.0) -> bool:
         """Take one retry out of the budget; False if none is left.
 
         Args:
-            keep: The part (0 to 1) of the whole budget that must be left after it.
+            reserve_fraction: The part (0 to 1) of the whole budget that must be left after it.
         """
-        if self.left - 1 < keep * self._whole:
+        if self.left - 1 < reserve_fraction * self._whole:
             return False
         newest = self._newest()
         self._slices[-1] = newest._replace(retries=newest.retries + 1)
--- a/src/wagtailpoint/retries/policy.py
+++ b/src/wagtailpoint/retries/policy.py
@@ -6,7 +6,7 @@
 from wagtailpoint.retries.budget import RetryBudget
 from wagtailpoint.verdict import Verdict
 
-MOST_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 LEAST_REMAINING_S = 0.005
 
 
@@ -17,7 +17,7 @@
     reason: str
 
 
-def may_retry(
+def decide_retry(
     *,
     idempotent: bool,
     verdict: Verdict,
@@ -42,7 +42,7 @@
         return RetryDecision(False, "ran")
     if verdict is Verdict.MAY_HAVE_RUN and not idempotent:
         return RetryDecision(False, "may-have-run")
-    if attempts >= MOST_ATTEMPTS:
+    if attempts >= MAX_ATTEMPTS:
         return RetryDecision(False, "most-attempts")
     if remaining_s < LEAST_REMAINING_S:
         return RetryDecision(False, "deadline")
--- a/src/wagtailpoint/routing/access.py
+++ b/src/wagtailpoint/routing/access.py
@@ -20,7 +20,7 @@
         return self is not AccessRefusal.UNPROVED
 
 
-def access(
+def check_access(
     table: RouteTable, route: HostRoute, key: bytes | None, *, proved: bool
 ) -> WorkspacePolicy | AccessRefusal | None:
     """Decide on a request.
--- a/src/wagtailpoint/routing/table.py
+++ b/src/wagtailpoint/routing/table.py
@@ -41,9 +41,9 @@
         timeout_s: The longest that a caller is kept waiting, in seconds.
         objective_s: An answer within this time has its full value, in seconds.
         priority: 0 is the most urgent.
-        most_attempts: The most backend servers that one request may be sent to.
+        max_attempts: The most backend servers that one request may be sent to.
         sticky: Backend servers that handled the same affinity key lately are faster.
-        homes: The regions that may serve it; None for all.
+        home_regions: The regions that may serve it; None for all.
         parts: The services, one or more.
         public: Callers need no key.
     """
@@ -54,9 +54,9 @@
     timeout_s: float
     objective_s: float
     priority: int
-    most_attempts: int
+    max_attempts: int
     sticky: bool
-    homes: frozenset[str] | None
+    home_regions: frozenset[str] | None
     parts: tuple[SplitPart, ...]
     public: bool = False
 
@@ -67,13 +67,17 @@
 
     def for_workspace(self, workspace: WorkspacePolicy) -> "HostRoute":
         """The route as it holds for a workspace: its priority goes first, both their homes bind."""
-        homes = self.homes
-        if workspace.homes is not None:
-            homes = workspace.homes if homes is None else homes & workspace.homes
+        home_regions = self.home_regions
+        if workspace.home_regions is not None:
+            home_regions = (
+                workspace.home_regions
+                if home_regions is None
+                else home_regions & workspace.home_regions
+            )
         priority = self.priority if workspace.priority is None else workspace.priority
-        if homes == self.homes and priority == self.priority:
+        if home_regions == self.home_regions and priority == self.priority:
             return self
-        return self._replace(priority=priority, homes=homes)
+        return self._replace(priority=priority, home_regions=home_regions)
 
 
 class ServicePolicy(NamedTuple):
@@ -82,14 +86,14 @@
     Attributes:
         name: The service.
         health_path: Where its backend servers answer a health check.
-        most_connections: A backend server takes so many connections from all callers together.
+        max_connections: A backend server takes so many connections from all callers together.
         cold_s: A backend server stays cold for so long after its start, in seconds.
         cold_per_s: Requests a second that a cold backend server bears.
     """
 
     name: str
     health_path: str
-    most_connections: int
+    max_connections: int
     cold_s: float
     cold_per_s: float
 
--- a/src/wagtailpoint/routing/workspaces.py
+++ b/src/wagtailpoint/routing/workspaces.py
@@ -19,13 +19,13 @@
     Attributes:
         name: Unique in the deployment; backend servers are told it.
         priority: Goes before that of the route; 0 is the most urgent, None if it has none.
-        homes: The regions that may serve it; None for all.
+        home_regions: The regions that may serve it; None for all.
         allowance: What it may send; None if not limited.
     """
 
     name: str
     priority: int | None = None
-    homes: frozenset[str] | None = None
+    home_regions: frozenset[str] | None = None
     allowance: Allowance | None = None
 
 
@@ -38,12 +38,12 @@
     return blake2b(key, digest_size=_DIGEST_BYTES).digest()
 
 
-def logged_digest(digest: bytes | None) -> str:
+def abbreviate_digest(digest: bytes | None) -> str:
     """Enough of a digest to find a key's log lines; empty if there is no key."""
     return digest.hex()[:_LOGGED_DIGITS] if digest is not None else ""
 
 
-def sent_key_digest(headers: Headers) -> bytes | None:
+def parse_key_digest(headers: Headers) -> bytes | None:
     """The digest of the key that a request carries; None if it carries none, or more than one.
 
     The scheme may be written in any case (RFC 9110, section 11.1).
--- a/tests/common/steering_parts.py
+++ b/tests/common/steering_parts.py
@@ -14,7 +14,7 @@
 from wagtailpoint.limits.allowance_sharing import Spent
 from wagtailpoint.node_settings import Endpoint
 from wagtailpoint.observe.metrics import Metrics
-from wagtailpoint.placement.cached_part import CachedPart
+from wagtailpoint.placement.cached_fraction import CachedFraction
 from wagtailpoint.placement.cold_pacing import ColdBound, ColdPacing
 from wagtailpoint.placement.distances import Distances
 from wagtailpoint.placement.entry_counts import FixedEntryCounts
@@ -52,9 +52,9 @@
         timeout_s=2.0,
         objective_s=0.3,
         priority=1,
-        most_attempts=2,
+        max_attempts=2,
         sticky=True,
-        homes=None,
+        home_regions=None,
         parts=(SplitPart("desk", 1.0),),
     )
     return route._replace(**changes)
@@ -93,10 +93,10 @@
         fleet=fleet,
         distances=make_distances(),
         cold=ColdPacing(
-            bound=lambda: ColdBound(1.5, 5.0), sharing=lambda start, region, wanted: instances
+            bound=lambda: ColdBound(1.5, 5.0), count_senders=lambda start, region, wanted: instances
         ),
-        cached_part=CachedPart(fleet=fleet, entries=entries),
-        mix=RegionMix(most_shift=lambda: MAX_SHIFT, random=Random(1)),
+        cached_fraction=CachedFraction(fleet=fleet, entries=entries),
+        mix=RegionMix(max_shift=lambda: MAX_SHIFT, random=Random(1)),
         entries=entries,
     )
 
--- a/tests/cover/test_agreed_place.py
+++ b/tests/cover/test_agreed_place.py
@@ -67,16 +67,18 @@
     def request(self, placement: Placement, key: str) -> None:
         policy = make_table().services["desk"]
         demand = Demand(make_route(), "desk", policy, key, (), 1.0, 0.3)
-        placement.note_request(demand)
+        placement.record_request(demand)
         choice = placement.choose(demand)
         assert isinstance(choice, Choice), choice
         at = choice.entry.server_id
         service_s = CACHED_S if at in self.places[key] else UNCACHED_S
         self.places[key].add(at)
         latency_s = service_s + (FAR_S if choice.region == "b" else 0.0)
-        underway = placement.began(demand, choice)
-        placement.note_answer(demand, choice, Observation(latency_s, 5000, False, False, None, 0.0))
-        placement.ended(choice.entry, underway)
+        underway = placement.record_send(demand, choice)
+        placement.record_answer(
+            demand, choice, Observation(latency_s, 5000, False, False, None, 0.0)
+        )
+        placement.record_end(choice.entry, underway)
 
     def test_each_object_is_fetched_once_in_the_region(self) -> None:
         """Symptom: a fifth of the answers come late although no backend server is busy.
--- a/tests/cover/test_backend_pool.py
+++ b/tests/cover/test_backend_pool.py
@@ -13,7 +13,7 @@
 from tests.common.steering_parts import make_distances, make_server
 from wagtailpoint.discovery.entries import ServerEntry
 from wagtailpoint.observe.metrics import Metrics
-from wagtailpoint.placement.distances import OTHER_REGION_S, Distances
+from wagtailpoint.placement.distances import INITIAL_OTHER_REGION_ROUND_TRIP_S, Distances
 from wagtailpoint.platform.header_names import HEADER_NAMES
 from wagtailpoint.proxy import backend_pool
 from wagtailpoint.proxy.backend_pool import BackendPool
@@ -30,7 +30,7 @@
     def __init__(self) -> None:
         super().__init__(failure_domain=NEAR, region="a", region_of={"a-1": "a", "b-1": "b"})
 
-    def note_opened(self, failure_domain: str, seconds: float) -> None:
+    def record_connect_time(self, failure_domain: str, seconds: float) -> None:
         """Learn nothing."""
 
 
@@ -175,7 +175,7 @@
                     await until(lambda: distances.is_measured(NEAR))
                 await trio.sleep(1.2)
                 # What was measured, however long it took on a busy machine.
-                self.assertNotEqual(distances.round_trip_s(FAR), OTHER_REGION_S)
+                self.assertNotEqual(distances.round_trip_s(FAR), INITIAL_OTHER_REGION_ROUND_TRIP_S)
                 nursery.cancel_scope.cancel()
 
         trio.run(run)
--- a/tests/cover/test_claims.py
+++ b/tests/cover/test_claims.py
@@ -28,7 +28,7 @@
             clock=self.clock,
             incarnation=incarnation,
             address="127.0.0.1:7180",
-            keep_s=KEEP_S,
+            retention_s=KEEP_S,
         )
 
     def claim(self, claims: Claims) -> Claimed | NotClaimed:
@@ -87,10 +87,10 @@
 
     def test_old_claims_are_removed_also_when_the_answer_is_lost(self) -> None:
         self.claim(self.one)
-        self.assertEqual(trio.run(self.one.remove_old), 0)
+        self.assertEqual(trio.run(self.one.remove_expired), 0)
         self.clock.now += KEEP_S
         self.platform.lose_answers = 1
-        self.assertEqual(trio.run(self.one.remove_old), 0)
-        self.assertEqual(trio.run(self.one.remove_old), 1)
+        self.assertEqual(trio.run(self.one.remove_expired), 0)
+        self.assertEqual(trio.run(self.one.remove_expired), 1)
         self.assertEqual(self.one.held, 0)
         self.assertEqual(list(self.platform.store.list(CLAIM_KIND)), [])
--- a/tests/cover/test_key_store.py
+++ b/tests/cover/test_key_store.py
@@ -10,7 +10,7 @@
 from wagtailpoint.fingerprint import fingerprint
 from wagtailpoint.idempotency.binding import Binding
 from wagtailpoint.idempotency.keys import (
-    Begin,
+    BeginResult,
     Join,
     KeyStore,
     Reject,
@@ -38,15 +38,15 @@
             incarnation=OWN,
             clock=self.clock,
             epoch_s=EPOCH_S,
-            most_keys=3,
-            most_answer_bytes=10,
-            most_kept_bytes=10,
+            max_keys=3,
+            max_answer_bytes=10,
+            max_kept_bytes=10,
         )
 
-    def begin(self, binding: Binding | None, key: RequestKey = KEY) -> Begin:
+    def begin(self, binding: Binding | None, key: RequestKey = KEY) -> BeginResult:
         return self.store.begin(key, PRINT, binding)
 
-    def check_rejected(self, begun: Begin, code: RefusalCode, verdict: Verdict) -> None:
+    def check_rejected(self, begun: BeginResult, code: RefusalCode, verdict: Verdict) -> None:
         assert isinstance(begun, Reject), begun
         self.assertEqual((begun.refusal.code, begun.refusal.verdict), (code, verdict))
 
--- a/tests/cover/test_learned.py
+++ b/tests/cover/test_learned.py
@@ -17,10 +17,10 @@
 class ServerLoadTest(unittest.TestCase):
     def test_report_counts_what_others_have_there(self) -> None:
         load = ServerLoad()
-        underway = load.began(10.0, 0.5)
-        load.note_report(LoadReport(3, 2, 3), 10.0, 0.0)
+        underway = load.record_send(10.0, 0.5)
+        load.record_report(LoadReport(3, 2, 3), 10.0, 0.0)
         self.assertAlmostEqual(load.occupancy(10.0, 0.0), 5.0)
-        load.ended(underway)
+        load.record_end(underway)
         self.assertAlmostEqual(load.occupancy(10.0, 0.0), 4.0)
         self.assertLess(load.occupancy(11.0, 0.0), 1.5)
 
@@ -33,22 +33,22 @@
         """
         load = ServerLoad()
         for sent_at in (10.00, 10.02, 10.04, 10.06, 10.08, 10.10):
-            load.began(sent_at, 0.05)
+            load.record_send(sent_at, 0.05)
         # Those sent until 10.04 have been worked on; their answers come until 10.16.
         self.assertAlmostEqual(load.occupancy(10.11, 0.07), 3.0)
         self.assertAlmostEqual(load.occupancy(10.11, 0.0), 6.0)
 
     def test_overdue_requests_are_still_there(self) -> None:
         load = ServerLoad()
-        load.began(10.0, 0.05)
+        load.record_send(10.0, 0.05)
         self.assertAlmostEqual(load.occupancy(10.1, 0.07), 0.0)
         self.assertAlmostEqual(load.occupancy(10.2, 0.07), 1.0)
 
     def test_report_was_written_before_the_latest_requests_came(self) -> None:
         load = ServerLoad()
         for sent_at in (10.00, 10.04, 10.09):
-            load.began(sent_at, 0.05)
-        load.note_report(LoadReport(3, 1, 3), 10.125, 0.08)
+            load.record_send(sent_at, 0.05)
+        load.record_report(LoadReport(3, 1, 3), 10.125, 0.08)
         # Two of the four were ours, and two others'; of ours only the latest is still there.
         self.assertAlmostEqual(load.occupancy(10.125, 0.08), 2.0 + 1.0)
 
@@ -59,11 +59,11 @@
 
     def test_suspicion_doubles_and_ends_with_an_answer(self) -> None:
         load = ServerLoad()
-        rests = [load.note_unreachable(now) for now in (0.0, 1.0, 3.0, 8.0, 20.0)]
+        rests = [load.record_unreachable(now) for now in (0.0, 1.0, 3.0, 8.0, 20.0)]
         self.assertEqual(rests, [0.5, 1.0, 2.0, 4.0, 4.0])
-        load.note_answer(21.0, failed=False)
+        load.record_answer(21.0, failed=False)
         self.assertFalse(load.is_suspect(21.0, 0.0))
-        self.assertEqual(load.note_unreachable(22.0), 0.5)
+        self.assertEqual(load.record_unreachable(22.0), 0.5)
 
     def test_server_that_answers_nothing_gets_no_more_requests(self) -> None:
         """Symptom: a tenth of all requests wait for their deadlines.
@@ -73,12 +73,12 @@
         until its deadline, a second later.
         """
         load = ServerLoad()
-        load.note_answer(9.0, failed=False)
+        load.record_answer(9.0, failed=False)
         load.note_latency(0.08, 0.1, 9.0)
-        load.began(10.0, 0.1)
+        load.record_send(10.0, 0.1)
         self.assertFalse(load.is_suspect(10.3, 0.07))
         self.assertTrue(load.is_suspect(10.5, 0.07))
-        load.note_answer(10.6, failed=False)
+        load.record_answer(10.6, failed=False)
         self.assertFalse(load.is_suspect(10.7, 0.07))
 
     def test_server_with_a_long_queue_is_not_silent(self) -> None:
@@ -89,19 +89,19 @@
         """
         load = ServerLoad()
         for number in range(30):
-            load.note_answer(number / 10, failed=False)
+            load.record_answer(number / 10, failed=False)
             load.note_latency(0.4, 0.1, number / 10)
-        load.began(10.0, 0.1)
+        load.record_send(10.0, 0.1)
         self.assertFalse(load.is_suspect(10.9, 0.07))
         self.assertTrue(load.is_suspect(11.5, 0.07))
 
     def test_trial_connection_does_not_end_the_doubling(self) -> None:
         """A process that hangs accepts connections, and answers nothing on them."""
         load = ServerLoad()
-        self.assertEqual(load.note_unreachable(10.0), 0.5)
-        load.note_reachable()
+        self.assertEqual(load.record_unreachable(10.0), 0.5)
+        load.record_reachable()
         self.assertFalse(load.is_suspect(10.6, 0.0))
-        self.assertEqual(load.note_unreachable(11.0), 1.0)
+        self.assertEqual(load.record_unreachable(11.0), 1.0)
 
 
 class KeyReuseTest(unittest.TestCase):
@@ -141,7 +141,7 @@
         distances = make_distances()
         assumed = [distances.round_trip_s(domain) for domain in DOMAINS]
         self.assertEqual(assumed, [0.001, 0.003, 0.1])
-        distances.note_opened("b-1", 0.04)
+        distances.record_connect_time("b-1", 0.04)
         self.assertAlmostEqual(distances.round_trip_s("b-1"), 0.04)
         self.assertEqual(distances.round_trip_s("a-2"), 0.003)
 
@@ -153,14 +153,14 @@
         """
         distances = make_distances()
         for number in range(200):
-            distances.note_opened("b-1", 1.04 if number % 10 == 0 else 0.04)
+            distances.record_connect_time("b-1", 1.04 if number % 10 == 0 else 0.04)
         self.assertLess(distances.round_trip_s("b-1"), 0.05)
 
     def test_a_longer_way_is_learned_in_the_end(self) -> None:
         distances = make_distances()
-        distances.note_opened("b-1", 0.02)
+        distances.record_connect_time("b-1", 0.02)
         for _ in range(150):
-            distances.note_opened("b-1", 0.06)
+            distances.record_connect_time("b-1", 0.06)
         self.assertGreater(distances.round_trip_s("b-1"), 0.055)
 
 
--- a/tests/cover/test_locality.py
+++ b/tests/cover/test_locality.py
@@ -23,15 +23,15 @@
         self.nearness = Nearness(servers=self.servers, regions=regions, failure_domain="region-0-b")
 
     def test_regions_are_tiers_by_latency_and_own_failure_domain_is_first(self) -> None:
-        tiers = self.nearness.tiers_of(self.servers)
+        tiers = self.nearness.assign_tiers(self.servers)
         by_region = {server.failure_domain[:-2]: tier for server, tier in tiers.items()}
         self.assertEqual(by_region, {"region-0": 0, "region-2": 1, "region-1": 2})
         self.assertEqual([one.failure_domain for one in tiers][:2], ["region-0-b"] * 2)
 
     def test_with_less_than_half_usable_the_next_region_joins(self) -> None:
-        two_left = self.nearness.tiers_of(self.servers[2:])
+        two_left = self.nearness.assign_tiers(self.servers[2:])
         self.assertEqual(set(two_left.values()), {0, 1, 2})
-        one_left = self.nearness.tiers_of(self.servers[3:])
+        one_left = self.nearness.assign_tiers(self.servers[3:])
         tiers = {server.failure_domain[:-2]: tier for server, tier in one_left.items()}
         self.assertEqual(tiers, {"region-0": 0, "region-2": 0, "region-1": 1})
 
--- a/tests/cover/test_placement.py
+++ b/tests/cover/test_placement.py
@@ -15,8 +15,8 @@
     make_table,
 )
 from wagtailpoint.discovery.fleet import Fleet
-from wagtailpoint.placement.cached_part import CachedPart
-from wagtailpoint.placement.choice import Choice, Demand, NoRoom, Observation
+from wagtailpoint.placement.cached_fraction import CachedFraction
+from wagtailpoint.placement.choice import Choice, Demand, NotPlaced, Observation
 from wagtailpoint.placement.entry_counts import FixedEntryCounts
 from wagtailpoint.placement.expectation import Prospect, expect
 from wagtailpoint.placement.placement import Placement
@@ -41,8 +41,8 @@
             policy=make_table().services["desk"],
             key=key,
             tried=(),
-            left_s=1.0,
-            objective_left_s=0.3,
+            remaining_s=1.0,
+            objective_remaining_s=0.3,
         )
         return demand._replace(**changes)
 
@@ -61,9 +61,9 @@
         self, placement: Placement, demand: Demand, choice: Choice, latency_s: float = 0.08, **seen
     ) -> None:
         observation = Observation(latency_s, 400, False, False, None, 0.0)
-        underway = placement.began(demand, choice)
-        placement.note_answer(demand, choice, observation._replace(**seen))
-        placement.ended(choice.entry, underway)
+        underway = placement.record_send(demand, choice)
+        placement.record_answer(demand, choice, observation._replace(**seen))
+        placement.record_end(choice.entry, underway)
 
     def test_key_stays_where_it_is_cached(self) -> None:
         async def test() -> None:
@@ -71,7 +71,7 @@
             used = set()
             for _ in range(20):
                 demand = self.demand()
-                placement.note_request(demand)
+                placement.record_request(demand)
                 choice = self.choose(placement, demand)
                 used.add(choice.entry.server_id)
                 self.answer(placement, demand, choice)
@@ -93,7 +93,7 @@
             for _ in range(60):
                 choice = placement.choose(self.demand())
                 if isinstance(choice, Choice):
-                    placement.began(self.demand(), choice)
+                    placement.record_send(self.demand(), choice)
                     used[choice.entry.server_id] += 1
             self.assertLessEqual(len(used), 5)
 
@@ -102,7 +102,7 @@
     def test_homes_bind(self) -> None:
         async def test() -> None:
             placement = self.twelve()
-            route = make_route(homes=frozenset(["b"]))
+            route = make_route(home_regions=frozenset(["b"]))
             for number in range(30):
                 choice = self.choose(placement, self.demand(str(number), route=route))
                 self.assertEqual(choice.entry.failure_domain, "b-1")
@@ -114,9 +114,9 @@
 
         async def test() -> None:
             placement = self.twelve()
-            route = make_route(homes=frozenset())
+            route = make_route(home_regions=frozenset())
             chosen = placement.choose(self.demand(route=route))
-            self.assertEqual(chosen, NoRoom("no backend server"))
+            self.assertEqual(chosen, NotPlaced("no backend server"))
 
         self.run_with(test)
 
@@ -133,19 +133,19 @@
         async def test() -> None:
             self.fleet.update([make_server("i-1"), make_server("i-2")])
             placement = make_placement(self.fleet)
-            placement.note_unreachable(self.fleet.entries["i-1"])
+            placement.record_unreachable(self.fleet.entries["i-1"])
             chosen = {
                 self.choose(placement, self.demand(str(n))).entry.server_id for n in range(20)
             }
             self.assertEqual(chosen, {"i-2"})
-            self.assertEqual(placement.rested(), [])
+            self.assertEqual(placement.servers_to_probe(), [])
             await trio.sleep(0.6)
             chosen = {
                 self.choose(placement, self.demand(str(n))).entry.server_id for n in range(20)
             }
             self.assertEqual(chosen, {"i-2"}, "before it was found to be reachable")
-            (rested,) = placement.rested()
-            placement.note_reachable(rested)
+            (rested,) = placement.servers_to_probe()
+            placement.record_reachable(rested)
             chosen = {
                 self.choose(placement, self.demand(str(n))).entry.server_id for n in range(20)
             }
@@ -160,7 +160,7 @@
             self.fleet.update([make_server("i-1"), make_server("i-2")])
             placement = make_placement(self.fleet)
             for entry in self.fleet.entries.values():
-                placement.note_unreachable(entry)
+                placement.record_unreachable(entry)
             self.choose(placement, self.demand())
 
         self.run_with(test)
@@ -171,7 +171,7 @@
             placement = make_placement(self.fleet)
             other, urgent = make_route(priority=2), make_route(priority=1)
             while isinstance(choice := placement.choose(self.demand(route=other)), Choice):
-                placement.began(self.demand(route=other), choice)
+                placement.record_send(self.demand(route=other), choice)
             self.assertIsInstance(placement.choose(self.demand(route=urgent)), Choice)
 
         self.run_with(test)
@@ -195,7 +195,7 @@
             sent = 0
             for number in range(40):
                 await trio.sleep(0.1)
-                choice = placement.choose(self.demand(str(number), left_s=0.8))
+                choice = placement.choose(self.demand(str(number), remaining_s=0.8))
                 if isinstance(choice, Choice):
                     sent += 1
                     self.answer(placement, self.demand(str(number)), choice)
@@ -214,10 +214,14 @@
                 demand = self.demand(str(number), route=known)
                 self.answer(placement, demand, self.choose(placement, demand))
             for entry in self.fleet.entries.values():
-                placement.load_of(entry).note_report(LoadReport(3, 6, 3), trio.current_time(), 0.0)
+                placement.load_of(entry).record_report(
+                    LoadReport(3, 6, 3), trio.current_time(), 0.0
+                )
             for name, objective_s in (("known", 0.25), ("added", 1.0)):
                 route = make_route(name, objective_s=objective_s)
-                demand = self.demand(route=route, left_s=1.0, objective_left_s=objective_s)
+                demand = self.demand(
+                    route=route, remaining_s=1.0, objective_remaining_s=objective_s
+                )
                 self.assertIsInstance(placement.choose(demand), Choice, name)
 
         self.run_with(test)
@@ -226,10 +230,10 @@
         async def test() -> None:
             placement = make_placement(self.fleet)
             nothing = placement.choose(self.demand())
-            self.assertEqual(nothing, NoRoom("no backend server"))
+            self.assertEqual(nothing, NotPlaced("no backend server"))
             self.fleet.update([make_server("i-1")])
-            late = placement.choose(self.demand(left_s=0.02))
-            self.assertEqual(late, NoRoom("too late"))
+            late = placement.choose(self.demand(remaining_s=0.02))
+            self.assertEqual(late, NotPlaced("too late"))
 
         self.run_with(test)
 
@@ -258,16 +262,16 @@
                     *(make_server(f"i-b{n}", failure_domain="b-1") for n in range(10)),
                 ]
             )
-            part = CachedPart(fleet=fleet, entries=FixedEntryCounts(1, 1, 1))
+            part = CachedFraction(fleet=fleet, entries=FixedEntryCounts(1, 1, 1))
             for _ in range(2000):
-                part.note_request("desk", 0.1)
+                part.record_request("desk", 0.1)
                 await trio.sleep(0.02)  # 50 a second of 0.1 s each: 5 slots are wanted.
             for _ in range(60):
-                part.note_request("desk", 0.1)
+                part.record_request("desk", 0.1)
                 part.of("desk", "a-1")
                 await trio.sleep(0.6)
                 for _ in range(30):
-                    part.note_request("desk", 0.1)
+                    part.record_request("desk", 0.1)
             self.assertLess(part.of("desk", "a-1"), 0.6)
             self.assertEqual(part.of("desk", "b-1"), 1.0)
 
--- a/tests/cover/test_platform_documents.py
+++ b/tests/cover/test_platform_documents.py
@@ -38,27 +38,27 @@
         assert look is not None
         self.assertIs(release.kind, RouteKind.NON_IDEMPOTENT)
         self.assertFalse(release.idempotent)
-        self.assertEqual(release.homes, {"a"})
+        self.assertEqual(release.home_regions, {"a"})
         self.assertEqual(look.parts, (SplitPart("desk", 90), SplitPart("vault", 10)))
-        self.assertEqual((look.timeout_s, look.objective_s, look.most_attempts), (0.8, 0.3, 2))
+        self.assertEqual((look.timeout_s, look.objective_s, look.max_attempts), (0.8, 0.3, 2))
         self.assertEqual(table.services["desk"].cold_per_s, 10.0)
 
     def test_homes_of_a_host_bind_with_those_of_its_routes(self) -> None:
         document = config_document()
         document["VirtualHosts"][0]["HomeRegions"] = ["a", "b"]
         table = decode_config(stored(document)).unwrap()
-        homes = {route.name: route.homes for route in table.hosts["ficu95.example"]}
-        self.assertEqual(homes, {"r-1": {"a", "b"}, "r-2": {"a"}})
+        home_regions = {route.name: route.home_regions for route in table.hosts["ficu95.example"]}
+        self.assertEqual(home_regions, {"r-1": {"a", "b"}, "r-2": {"a"}})
 
     def test_homes_without_a_common_region_allow_none(self) -> None:
         """Guards against a route served everywhere since its homes and its host's are disjoint."""
         document = config_document()
         document["VirtualHosts"][0]["HomeRegions"] = ["b"]
         table = decode_config(stored(document)).unwrap()
-        homes = {route.name: route.homes for route in table.hosts["ficu95.example"]}
-        self.assertEqual(homes, {"r-1": {"b"}, "r-2": set()})
+        home_regions = {route.name: route.home_regions for route in table.hosts["ficu95.example"]}
+        self.assertEqual(home_regions, {"r-1": {"b"}, "r-2": set()})
         without = decode_config(stored(config_document())).unwrap()
-        self.assertIsNone(without.hosts["ficu95.example"][1].homes)
+        self.assertIsNone(without.hosts["ficu95.example"][1].home_regions)
 
     def test_workspaces_by_the_digests_of_their_keys(self) -> None:
         tenant = {
--- a/tests/cover/test_reach_probe.py
+++ b/tests/cover/test_reach_probe.py
@@ -64,7 +64,7 @@
         """
 
         async def test(placement: Placement) -> None:
-            placement.note_unreachable(self.fleet.entries["i-1"])
+            placement.record_unreachable(self.fleet.entries["i-1"])
             await trio.sleep(12.0)
             self.assertTrue(self.rests(placement))
             self.assertLessEqual(len(self.pool.tried_at), 6)
--- a/tests/cover/test_region_mix.py
+++ b/tests/cover/test_region_mix.py
@@ -58,15 +58,15 @@
         """Send one request; the region where it runs."""
         route = make_route(objective_s=0.5)
         demand = Demand(route, "desk", None, f"k{number % 40}", (), 1.0, 0.5)
-        placement.note_request(demand)
+        placement.record_request(demand)
         choice = placement.choose(demand)
         assert isinstance(choice, Choice), (choice, trio.current_time())
         near = choice.region == "a"
         load = LoadReport(min(3, near_load), max(0, near_load - 3), 3) if near else None
         seen = Observation(0.08 if near else 0.18, 400, False, False, load, 0.0)
-        underway = placement.began(demand, choice)
-        placement.note_answer(demand, choice, seen)
-        placement.ended(choice.entry, underway)
+        underway = placement.record_send(demand, choice)
+        placement.record_answer(demand, choice, seen)
+        placement.record_end(choice.entry, underway)
         return choice.region
 
     def test_load_moves_few_requests_at_a_time(self) -> None:
--- a/tests/cover/test_retries.py
+++ b/tests/cover/test_retries.py
@@ -5,7 +5,7 @@
 
 from tests.common.fake_clock import FakeClock
 from wagtailpoint.retries.budget import RetryBudget
-from wagtailpoint.retries.policy import may_retry, order_for_retry
+from wagtailpoint.retries.policy import decide_retry, order_for_retry
 from wagtailpoint.verdict import Verdict
 
 
@@ -17,7 +17,7 @@
         taken = 0
         for _ in range(1000):
             clock.now += 0.01
-            budget.note_fresh()
+            budget.record_request()
             taken += budget.take() + budget.take()
         self.assertEqual(taken, 100)
 
@@ -26,14 +26,14 @@
         clock = FakeClock()
         budget = RetryBudget(clock=clock, ratio=0.1, minimum_per_s=0.0)
         for _ in range(1000):
-            budget.note_fresh()
-        self.assertEqual(sum(budget.take(keep=0.5) for _ in range(100)), 50)
+            budget.record_request()
+        self.assertEqual(sum(budget.take(reserve_fraction=0.5) for _ in range(100)), 50)
         self.assertEqual(sum(budget.take() for _ in range(100)), 50)
 
     def test_fresh_requests_count_for_ten_seconds(self) -> None:
         clock = FakeClock()
         budget = RetryBudget(clock=clock, ratio=1.0, minimum_per_s=0.0)
-        budget.note_fresh()
+        budget.record_request()
         clock.now += 10.0
         self.assertFalse(budget.take())
 
@@ -53,7 +53,7 @@
         remaining_s: float = 1.0,
         per_s: float = 1.0,
     ) -> str:
-        return may_retry(
+        return decide_retry(
             idempotent=idempotent,
             verdict=verdict,
             response_started=response_started,
--- a/tests/cover/test_shared_bounds.py
+++ b/tests/cover/test_shared_bounds.py
@@ -80,7 +80,7 @@
             for _ in range(400):
                 for pacing in pacings:
                     if pacing.may_send(START, "a", 10.0):
-                        pacing.note_sent(START, "a", 10.0)
+                        pacing.record_sent(START, "a", 10.0)
                         sent.append(trio.current_time())
                 await trio.sleep(0.01)
 
@@ -100,8 +100,8 @@
                 own=seen[number - first].address,
                 members=lambda: seen,
                 instances=lambda: size if unseen else len(seen),
-            ).sharing
-            return ColdPacing(bound=lambda: ColdBound(1.5, 5.0), sharing=sharing)
+            ).count_senders
+            return ColdPacing(bound=lambda: ColdBound(1.5, 5.0), count_senders=sharing)
 
         return [pacing(number) for number in range(size)]
 
@@ -112,7 +112,10 @@
         moment as their rates. So the burst counts against the rate of the second.
         """
         sent = self.sent_by(
-            [ColdPacing(bound=lambda: ColdBound(1.5, 5.0), sharing=lambda *_: 9) for _ in range(9)]
+            [
+                ColdPacing(bound=lambda: ColdBound(1.5, 5.0), count_senders=lambda *_: 9)
+                for _ in range(9)
+            ]
         )
         self.assertLessEqual(self.most_in_a_second(sent), 20)
         self.assertGreater(len(sent), 20)
@@ -135,7 +138,7 @@
         all. Cause: the part of each was below one request, and each sent its one.
         """
         pacings = [
-            ColdPacing(bound=lambda: ColdBound(1.5, 5.0), sharing=lambda *_: 490)
+            ColdPacing(bound=lambda: ColdBound(1.5, 5.0), count_senders=lambda *_: 490)
             for _ in range(490)
         ]
         self.assertEqual(self.sent_by(pacings), [])
@@ -156,7 +159,7 @@
             sharing = [
                 ColdSenders(
                     own=member.address, members=lambda: members, instances=lambda: 12
-                ).sharing
+                ).count_senders
                 for member in members
             ]
             before = [each(START, "a", 3) for each in sharing]
@@ -174,7 +177,7 @@
                 senders = ColdSenders(
                     own=member.address, members=lambda: members, instances=lambda: 12
                 )
-                chosen = senders.sharing(START, "a", 3) > 0
+                chosen = senders.count_senders(START, "a", 3) > 0
                 self.assertEqual(chosen, member.region == "a")
 
         trio.run(test, clock=MockClock(autojump_threshold=0))
--- a/tests/cover/test_system_model.py
+++ b/tests/cover/test_system_model.py
@@ -53,6 +53,6 @@
 
     def test_constant_that_does_not_exist_is_an_error(self) -> None:
         """The experiment with a mistyped constant would show that it changes nothing."""
-        result = CliRunner().invoke(main, ["--set", "cached_part.NOWHERE=1"])
+        result = CliRunner().invoke(main, ["--set", "cached_fraction.NOWHERE=1"])
         self.assertNotEqual(result.exit_code, 0)
-        self.assertIn("cached_part.NOWHERE", result.output)
+        self.assertIn("cached_fraction.NOWHERE", result.output)
--- a/tests/nocover/test_at_most_once.py
+++ b/tests/nocover/test_at_most_once.py
@@ -83,8 +83,8 @@
             incarnation=f"{self.lives:016x}",
             clock=self.clocks[number],
             epoch_s=EPOCH_S,
-            most_keys=2,
-            most_answer_bytes=10,
+            max_keys=2,
+            max_answer_bytes=10,
         )
 
     @rule(key=KEYS, number=ENTRIES, old=st.booleans(), copies=st.integers(1, 3))
