--- a/bench/admission_driver.py
+++ b/bench/admission_driver.py
@@ -88,7 +88,7 @@
         """One tier."""
         return 0
 
-    def taken(self, server: BackendServer) -> None:
+    def record_taken(self, server: BackendServer) -> None:
         """Nothing to note."""
 
 
@@ -141,7 +141,7 @@
 RULES: Final[dict[str, Callable[[], Admission]]] = {
     "fcfs": lambda: PlainQueue(by_class=False),
     "first": lambda: PlainQueue(by_class=True),
-    "ours": lambda: SlotPool(clock=TrioClock(), most_queued=MOST_QUEUED, random=Random(3)),
+    "ours": lambda: SlotPool(clock=TrioClock(), max_queued=MOST_QUEUED, random=Random(3)),
 }
 
 
--- a/bench/classes.py
+++ b/bench/classes.py
@@ -19,7 +19,7 @@
     Run,
     Stream,
 )
-from wagtailpoint.admission.ceilings import most_held
+from wagtailpoint.admission.ceilings import max_held_slots
 
 MOST_TONIGHT_RATIO: Final = 1.2
 LEAST_GOODPUT_RATIO: Final = 0.95
@@ -175,7 +175,7 @@
         BROCHURE, steady(3.0, DOWNLOAD_S), hold_s=DOWNLOAD_S, timeout_s=5.0, long=True
     )
     alone = Run(rule="ours", streams=[brochure], until_s=until_s)
-    ceiling = most_held(BROCHURE, ALL_SLOTS)
+    ceiling = max_held_slots(BROCHURE, ALL_SLOTS)
     most = alone.most_held["brochure"]
     use = alone.used * ALL_SLOTS / ceiling
     _check(most == ceiling, f"brochures alone held {most} slots, their ceiling is {ceiling}")
--- a/bench/hedging.py
+++ b/bench/hedging.py
@@ -82,7 +82,7 @@
     def tier_of(self, server: BackendServer) -> int:
         return 0
 
-    def taken(self, server: BackendServer) -> None:
+    def record_taken(self, server: BackendServer) -> None:
         pass
 
 
@@ -171,7 +171,7 @@
         forwarder = Forwarder(
             clock=clock,
             backends=self._backends,  # type: ignore[arg-type]
-            slots=SlotPool(clock=clock, most_queued=500, random=Random(2)),
+            slots=SlotPool(clock=clock, max_queued=500, random=Random(2)),
             servers=_Servers(),
             budget=lambda _plan: budget,
             quarantine=Quarantine(others=CrashReportRecorder()),
--- a/bench/locality.py
+++ b/bench/locality.py
@@ -69,9 +69,9 @@
         """One tier for all."""
         return 0
 
-    def taken(self, server: BackendServer) -> None:
+    def record_taken(self, server: BackendServer) -> None:
         """Pass it on."""
-        self._choice.taken(server)
+        self._choice.record_taken(server)
 
 
 class _Run:
@@ -107,7 +107,7 @@
             moves=idle_board(clock),
             failure_domain=failure_domain,
         )
-        pool = SlotPool(clock=clock, most_queued=500)
+        pool = SlotPool(clock=clock, max_queued=500)
         rate = part * SERVERS_A_REGION * SLOTS / SERVICE_S
         async with trio.open_nursery() as nursery:
             for _ in range(int(requests * part)):
--- a/bench/moves.py
+++ b/bench/moves.py
@@ -108,7 +108,7 @@
             moves=self.board,
             failure_domain=f"region-{number}-a",
         )
-        self.pool = SlotPool(clock=clock, most_queued=500)
+        self.pool = SlotPool(clock=clock, max_queued=500)
         self.writer = MoveWriter(
             platform=platform,
             clock=clock,
--- a/src/wagtailpoint/admission/ceilings.py
+++ b/src/wagtailpoint/admission/ceilings.py
@@ -10,7 +10,7 @@
 """0.29 × 100 is a little less than 29 in floating point; the operator means 29."""
 
 
-def most_held(policy: ClassPolicy, slots: int) -> int:
+def max_held_slots(policy: ClassPolicy, slots: int) -> int:
     """How many of ``slots`` a class and all lower ones may hold together."""
     return floor(policy.ceiling * slots + _ROUNDING)
 
@@ -77,6 +77,6 @@
     """
     for policy in policies:
         below = sum(count for priority, count in held.items() if priority >= policy.priority)
-        if below >= max(least, most_held(policy, slots)):
+        if below >= max(least, max_held_slots(policy, slots)):
             return False
     return True
--- a/src/wagtailpoint/admission/demand.py
+++ b/src/wagtailpoint/admission/demand.py
@@ -17,7 +17,7 @@
         """The tier of one of the last ``candidates``; the next is used when one is full."""
         ...
 
-    def taken(self, server: BackendServer) -> None:
+    def record_taken(self, server: BackendServer) -> None:
         """A slot of this backend server was taken, in the same step as ``candidates``."""
         ...
 
--- a/src/wagtailpoint/admission/slots.py
+++ b/src/wagtailpoint/admission/slots.py
@@ -17,7 +17,7 @@
     HeldSlots,
     binding_policies,
     is_below_ceilings,
-    most_held,
+    max_held_slots,
 )
 from wagtailpoint.admission.demand import ServerChoice, Slot, SlotDemand, SlotGrants
 from wagtailpoint.admission.own_count import OwnCount
@@ -62,24 +62,24 @@
         self,
         *,
         clock: Clock,
-        most_queued: int,
+        max_queued: int,
         random: Random | None = None,
         grants: SlotGrants | None = None,
-        limit_part: Callable[[], float] = lambda: 1.0,
+        limit_fraction: Callable[[], float] = lambda: 1.0,
     ) -> None:
         """Make it with all slots free.
 
         Args:
             clock: Of this instance.
-            most_queued: The most requests that wait, of all pools.
+            max_queued: The most requests that may wait, over all pools.
             random: Spreads ``Retry-After``.
             grants: The slots that this instance may use; by default all, by its own count.
-            limit_part: The part of every workspace's limit that this instance may spend.
+            limit_fraction: The fraction of every workspace's limit that this instance may spend.
         """
         self._clock = clock
-        self._most_queued = most_queued
+        self._most_queued = max_queued
         self._grants = grants if grants is not None else OwnCount()
-        self._rates = WorkspaceRates(clock=clock, part=limit_part)
+        self._rates = WorkspaceRates(clock=clock, part=limit_fraction)
         self._return_times = ReturnTimes(clock=clock, random=random or Random())
         self._held = HeldSlots()
         self._pools: dict[str, _Pool] = {}
@@ -183,7 +183,7 @@
         server = self._take_server(demand, choice.candidates())
         if server is None:
             return None
-        choice.taken(server)
+        choice.record_taken(server)
         priority = demand.policy.priority
         self._held.add(server, priority)
         pool.line.queue(priority).note_taken(demand.workspace)
@@ -224,7 +224,7 @@
             for tier, servers in tiers.items()
             if is_below_ceilings(binding, self._held.by_priority(servers), slots[tier])
         }
-        if not found and not any(most_held(demand.policy, count) for count in slots.values()):
+        if not found and not any(max_held_slots(demand.policy, count) for count in slots.values()):
             # With so few slots the ceiling is less than one; a class that is never served at all
             # is worse than one slot too many.
             held = self._held.by_priority(candidates)
--- a/src/wagtailpoint/cli/quarantine_commands.py
+++ b/src/wagtailpoint/cli/quarantine_commands.py
@@ -14,7 +14,7 @@
 from wagtailpoint.node_settings import Endpoint
 from wagtailpoint.ports.platform import Conflict, Platform, StoredObject
 from wagtailpoint.quarantine.quarantine import CrashReport
-from wagtailpoint.quarantine.stored import KIND, read_stored
+from wagtailpoint.quarantine.stored import KIND, decode_report
 
 _store_option = click.option(
     "--store",
@@ -40,7 +40,7 @@
         listed = await _listed(opened)
     if isinstance(listed, Err):
         return listed
-    reports = [report for each in listed.ok_value.values() if (report := read_stored(each))]
+    reports = [report for each in listed.ok_value.values() if (report := decode_report(each))]
     data = {"quarantined": [_report_data(each) for each in reports]}
     return Ok(Report(_format_reports(reports), data))
 
--- a/src/wagtailpoint/daemon/instance.py
+++ b/src/wagtailpoint/daemon/instance.py
@@ -34,7 +34,7 @@
 from wagtailpoint.entry.request import CallerRequest
 from wagtailpoint.entry.service import EntryService
 from wagtailpoint.health.board import HealthBoard
-from wagtailpoint.health.drain_news import DrainNews
+from wagtailpoint.health.drain_broadcaster import DrainBroadcaster
 from wagtailpoint.idempotency.binding import new_incarnation
 from wagtailpoint.idempotency.bound_entry import BoundEntries
 from wagtailpoint.idempotency.claims import Claims
@@ -121,7 +121,7 @@
         )
         self._backends = HttpBackends()
         self._health = HealthBoard(clock=self._clock)
-        DrainNews(peers=self._peers, health=self._health, others=self._membership.others)
+        DrainBroadcaster(peers=self._peers, health=self._health, others=self._membership.others)
         self._quarantine = SharedQuarantine(
             peers=self._peers, platform=self._platform, membership=self._membership, random=Random()
         )
@@ -134,8 +134,8 @@
         )
         self._slots = SlotPool(
             clock=self._clock,
-            most_queued=settings.limits.queued_requests,
-            limit_part=lambda: even_part(self._config.effective),
+            max_queued=settings.limits.queued_requests,
+            limit_fraction=lambda: even_part(self._config.effective),
         )
         self._gate = RequestGate(max_open_requests=settings.limits.open_requests)
         self._keys = KeyStore(
--- a/src/wagtailpoint/daemon/probing.py
+++ b/src/wagtailpoint/daemon/probing.py
@@ -72,7 +72,7 @@
                 probed = _Probed(path=path, scope=trio.CancelScope())
                 self._probed[address] = probed
                 self._nursery.start_soon(self._probe, address, probed)
-        self._health.forget(list(paths))
+        self._health.retain(list(paths))
 
     async def run(self) -> None:
         """Probe until cancelled."""
--- a/src/wagtailpoint/daemon/servers.py
+++ b/src/wagtailpoint/daemon/servers.py
@@ -157,7 +157,7 @@
         """The tier of one of the last candidates."""
         return self._tiers[server]
 
-    def taken(self, server: BackendServer) -> None:
+    def record_taken(self, server: BackendServer) -> None:
         """Count it against the cap of a move, in the step that takes the slot."""
         if self._route is not None:
             self._route.record_slot_taken(server.address)
--- a/src/wagtailpoint/daemon/shared_quarantine.py
+++ b/src/wagtailpoint/daemon/shared_quarantine.py
@@ -12,7 +12,7 @@
 from wagtailpoint.observe.log import log_event
 from wagtailpoint.ports.peers import Peers
 from wagtailpoint.ports.platform import Platform
-from wagtailpoint.quarantine.news import QuarantineNews
+from wagtailpoint.quarantine.crash_broadcaster import CrashBroadcaster
 from wagtailpoint.quarantine.quarantine import Quarantine
 from wagtailpoint.quarantine.stored import KIND, StoredQuarantine
 
@@ -36,7 +36,7 @@
         """
         self._platform = platform
         self._random = random
-        news = QuarantineNews(peers=peers, others=membership.others)
+        news = CrashBroadcaster(peers=peers, others=membership.others)
         self._local = Quarantine(others=news)
         news.listen(self._local)
         self._stored = StoredQuarantine(
@@ -61,7 +61,7 @@
 
     def take_stored(self, state: KindState) -> None:
         """Take in what the store lists."""
-        self._stored.take(state)
+        self._stored.apply_listing(state)
 
     async def run(self) -> None:
         """Keep the store up to date until cancelled."""
--- a/src/wagtailpoint/daemon/workspace_rules.py
+++ b/src/wagtailpoint/daemon/workspace_rules.py
@@ -123,13 +123,13 @@
 
     def note_change(self) -> None:
         """What the store says has changed."""
-        self._slots.note_change()
+        self._slots.record_config_change()
         if self._confirmation is not None:
             self._confirmation.on_config_change()
 
     async def give_up(self) -> None:
         """Let others have the slots, before this instance leaves."""
-        await self._slots.give_up()
+        await self._slots.release()
 
     def _version(self) -> int:
         """The version of the configuration in force; 0 if the newest one could not be read."""
--- a/src/wagtailpoint/entry/crash_evidence.py
+++ b/src/wagtailpoint/entry/crash_evidence.py
@@ -55,7 +55,7 @@
                 target=request.target,
                 starts=(self._start_that_ended(server.address),),
             )
-            self._quarantine.note_crash(report)
+            self._quarantine.record_crash(report)
 
     def _start_that_ended(self, address: BackendAddress) -> ServerStart:
         now = self._clock.monotonic()
--- a/src/wagtailpoint/entry/forwarding.py
+++ b/src/wagtailpoint/entry/forwarding.py
@@ -120,7 +120,7 @@
             answered = isinstance(outcome, Ok)
             return outcome
         finally:
-            self._quarantine.note_over(planned.fingerprint, answered=answered)
+            self._quarantine.record_finished(planned.fingerprint, answered=answered)
 
     async def _forward(self, planned: PlannedRequest, sink: ResponseSink) -> Result[None, Refusal]:
         plan, fingerprint = planned.plan, planned.fingerprint
@@ -165,7 +165,7 @@
             )
             # A streamed body has been read in part by the first attempt: it can't be sent again.
             again = decision.allowed and planned.stream is None
-            again = again and self._quarantine.may_repeat(fingerprint)
+            again = again and self._quarantine.allows_retry(fingerprint)
             for attempt in attempts:
                 self._observer.on_exchange_failed(
                     planned.request, attempt.server.address, attempt.failure, again=again
@@ -211,7 +211,7 @@
     async def _send(
         self, planned: PlannedRequest, slot: Slot, sink: ResponseSink
     ) -> BackendFailure | None:
-        self._quarantine.began(planned.fingerprint)
+        self._quarantine.record_started(planned.fingerprint)
         try:
             sent = _as_sent(planned, self.remaining(planned.plan))
             failure = await self._exchange(slot, sent, sink)
@@ -219,7 +219,7 @@
                 await self._evidence.note(planned, slot.server, failure)
             return failure
         finally:
-            self._quarantine.ended(planned.fingerprint)
+            self._quarantine.record_ended(planned.fingerprint)
             self._slots.release(slot)
 
     async def _exchange(
--- a/src/wagtailpoint/health/board.py
+++ b/src/wagtailpoint/health/board.py
@@ -92,7 +92,7 @@
         kept_out = self._kept_out(doubtful, len(group))
         return tuple(each for each in group if each.address not in kept_out)
 
-    def forget(self, kept: Sequence[BackendAddress]) -> None:
+    def retain(self, kept: Sequence[BackendAddress]) -> None:
         """Drop what is known of backend servers that left the configuration."""
         known = set(kept)
         self._health = {key: value for key, value in self._health.items() if key in known}
--- a/src/wagtailpoint/health/drain_news.py
+++ b/src/wagtailpoint/health/drain_broadcaster.py
@@ -25,7 +25,7 @@
 register_message("server-draining", ServerDraining)
 
 
-class DrainNews:
+class DrainBroadcaster:
     """Passes what this instance's refusals say to its peers, and takes in what theirs say.
 
     Args:
--- a/src/wagtailpoint/limits/allowance_sharing.py
+++ b/src/wagtailpoint/limits/allowance_sharing.py
@@ -69,7 +69,7 @@
 NOT_HELD: Final = AllowanceAnswer(False, 0, 0.0)
 
 
-class Spent(NamedTuple):
+class SpendResult(NamedTuple):
     """What became of the attempt to spend a token.
 
     Attributes:
@@ -174,22 +174,22 @@
                         nursery.start_soon(self._answer_of, NO_WORKSPACE, slot, 1)
             await trio.sleep(KEEP_LINKS_INTERVAL_S * self._random.uniform(0.8, 1.2))
 
-    async def spend(self, workspace: str) -> Spent:
+    async def spend(self, workspace: str) -> SpendResult:
         """Spend a token of a workspace that has an allowance."""
         now = self._clock.monotonic()
         demand = self._demands.setdefault(workspace, _Demand())
         demand.note(now)
         if demand.take_left(now):
-            return Spent(True, 0.0, "ahead")
+            return SpendResult(True, 0.0, "ahead")
         least_wait_s = math.inf
         told = []
         for slot in self._in_order(workspace):
             wait_s = await self._ask(workspace, slot, demand)
             if wait_s == 0.0:
-                return Spent(True, 0.0, slot.name)
+                return SpendResult(True, 0.0, slot.name)
             least_wait_s = min(least_wait_s, wait_s)
             told.append(f"{slot.region}:{wait_s:.3f}s")
-        return Spent(False, least_wait_s, ",".join(told))
+        return SpendResult(False, least_wait_s, ",".join(told))
 
     def _in_order(self, workspace: str) -> list[Slot]:
         slots = list(slots_of(workspace, self._regions))
--- a/src/wagtailpoint/limits/allowance_slots.py
+++ b/src/wagtailpoint/limits/allowance_slots.py
@@ -157,17 +157,17 @@
             for slot, lease in self._leases.items():
                 nursery.start_soon(self._keep, slot, lease)
 
-    def note_change(self) -> None:
+    def record_config_change(self) -> None:
         """The configuration has changed."""
         self._changed.set()
         self._changed = trio.Event()
 
-    async def give_up(self) -> None:
+    async def release(self) -> None:
         """Let others have the slots at once."""
         for slot, lease in self._leases.items():
             if lease.held():
                 log_event("allowance-slot", slot=slot.name, held=False, reason="leaving")
-                await lease.give_up()
+                await lease.release()
 
     async def _settle(self) -> None:
         await trio.sleep(SETTLE_S)
@@ -193,7 +193,7 @@
                 await lease.step()
                 self._note_taken(slot, lease)
             elif lease.held():
-                await lease.give_up()
+                await lease.release()
             held = lease.held()
             if held != was_held:
                 log_event("allowance-slot", slot=slot.name, held=held, fence=lease.fence)
--- a/src/wagtailpoint/limits/lease.py
+++ b/src/wagtailpoint/limits/lease.py
@@ -184,7 +184,7 @@
                 await self._write(self._own, ABSENT)
         return self.held()
 
-    async def give_up(self) -> None:
+    async def release(self) -> None:
         """Stop at once, then let others know; if that fails they wait a lease."""
         if not self._fence:
             return
--- a/src/wagtailpoint/moves/writer.py
+++ b/src/wagtailpoint/moves/writer.py
@@ -31,7 +31,7 @@
         """Take or renew it if possible."""
         ...
 
-    async def give_up(self) -> None:
+    async def release(self) -> None:
         """Let others have it."""
         ...
 
@@ -128,7 +128,7 @@
     async def _stand_back(self) -> None:
         if self._has_read or self._lease.held():
             self._has_read = False
-            await self._lease.give_up()
+            await self._lease.release()
 
     async def _read_all(self) -> bool:
         """Learn what the writer before left; the watch may not have brought all of it."""
--- a/src/wagtailpoint/proxy/dispatcher.py
+++ b/src/wagtailpoint/proxy/dispatcher.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from wagtailpoint.limits.allowance_sharing import Spent
+from wagtailpoint.limits.allowance_sharing import SpendResult
 from wagtailpoint.observe.log import log_event
 from wagtailpoint.observe.metrics import LatencyKey, Metrics
 from wagtailpoint.placement.choice import Choice, Declined, NotPlaced
@@ -47,7 +47,7 @@
 class Allowances(Protocol):
     """What workspaces may send, over all instances."""
 
-    async def spend(self, workspace: str) -> Spent:
+    async def spend(self, workspace: str) -> SpendResult:
         """Count a request."""
         ...
 
@@ -159,7 +159,7 @@
             self._log(request, job, Outcome(0, "caller-gone", job.verdict), caller)
             raise
         finally:
-            self._quarantine.note_over(job.fingerprint, answered=answered)
+            self._quarantine.record_finished(job.fingerprint, answered=answered)
         self._log(request, job, outcome, caller)
 
     async def _serve(self, job: Job, caller: CallerExchange) -> Outcome:
--- a/src/wagtailpoint/proxy/refusal.py
+++ b/src/wagtailpoint/proxy/refusal.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import Final, NamedTuple
 
-from wagtailpoint.limits.allowance_sharing import Spent
+from wagtailpoint.limits.allowance_sharing import SpendResult
 from wagtailpoint.ports.backend import Headers
 from wagtailpoint.proxy.caller_exchange import CallerExchange
 from wagtailpoint.proxy.job import Outcome
@@ -94,7 +94,7 @@
             return Refusal(HTTPStatus.UNAUTHORIZED, refusal.value, None)
         return Refusal(HTTPStatus.SERVICE_UNAVAILABLE, refusal.value, self._about(SOON_S))
 
-    def over_allowance(self, spent: Spent, left_s: float) -> Refusal:
+    def over_allowance(self, spent: SpendResult, left_s: float) -> Refusal:
         """Its workspace has sent what it may, or nobody can say."""
         if spent.wait_s == math.inf:
             reason = "allowance-unknown"
--- a/src/wagtailpoint/proxy/sender.py
+++ b/src/wagtailpoint/proxy/sender.py
@@ -138,7 +138,7 @@
             return False
         if job.sends == 0:
             return len(job.tried) < MOST_UNREACHED
-        if not self._quarantine.may_repeat(job.fingerprint):
+        if not self._quarantine.allows_retry(job.fingerprint):
             return False
         return job.sends < job.route.max_attempts and self._budget.take(job.service)
 
@@ -215,7 +215,7 @@
         job.tried.append(entry.server_id)
         job.sends += 1
         underway = self._placement.record_send(demand, choice)
-        self._quarantine.began(job.fingerprint)
+        self._quarantine.record_started(job.fingerprint)
         connection: BackendConnection | None = None
         began = trio.current_time()
         try:
@@ -241,7 +241,7 @@
                 await self._note_if_crashed(job, entry)
             return None
         finally:
-            self._quarantine.ended(job.fingerprint)
+            self._quarantine.record_ended(job.fingerprint)
             self._placement.record_end(entry, underway)
             if connection is not None:
                 await self._pool.release(entry.start, connection)
@@ -302,7 +302,7 @@
         failure = await self._pool.open_spare(entry, "crash-check")
         if failure is FailureReason.CONNECT_REFUSED:
             self._placement.record_unreachable(entry)
-            self._quarantine.note_crash(job.crash_report(entry.start))
+            self._quarantine.record_crash(job.crash_report(entry.start))
 
     def _outgoing(self, job: Job, server_id: str) -> OutgoingRequest:
         names = self._names
--- a/src/wagtailpoint/quarantine/news.py
+++ b/src/wagtailpoint/quarantine/crash_broadcaster.py
@@ -32,7 +32,7 @@
 register_message("crash-cleared", CrashCleared)
 
 
-class QuarantineNews:
+class CrashBroadcaster:
     """Sends reports to all other instances, and takes in theirs.
 
     Each instance tells all others itself, and nobody tells it on: it must be known everywhere
@@ -70,11 +70,11 @@
         self._peers.handle(CrashReport, take_report)
         self._peers.handle(CrashCleared, take_cleared)
 
-    def tell(self, report: CrashReport) -> None:
+    def broadcast_crashes(self, report: CrashReport) -> None:
         """Tell the others of the crashes that a request has met."""
         self._send(report, report.fingerprint)
 
-    def tell_cleared(self, fingerprint: str) -> None:
+    def broadcast_cleared(self, fingerprint: str) -> None:
         """Tell the others that a request that met crashes was answered after all."""
         self._send(CrashCleared(fingerprint), fingerprint)
 
--- a/src/wagtailpoint/quarantine/quarantine.py
+++ b/src/wagtailpoint/quarantine/quarantine.py
@@ -81,11 +81,11 @@
 class CrashTeller(Protocol):
     """Tells the other instances what this one has found."""
 
-    def tell(self, report: CrashReport) -> None:
+    def broadcast_crashes(self, report: CrashReport) -> None:
         """Tell them of the crashes that a request has met."""
         ...
 
-    def tell_cleared(self, fingerprint: str) -> None:
+    def broadcast_cleared(self, fingerprint: str) -> None:
         """Tell them that a request that met crashes was answered after all."""
         ...
 
@@ -144,22 +144,22 @@
             return Admission.SUSPECT
         return Admission.ADMITTED
 
-    def may_repeat(self, fingerprint: str) -> bool:
+    def allows_retry(self, fingerprint: str) -> bool:
         """Whether this instance may send a request again after it was sent in vain."""
         admitted = self.admission(fingerprint) is Admission.ADMITTED
         return admitted and self.crashes(fingerprint) < LAST_REPEAT
 
-    def began(self, fingerprint: str) -> None:
+    def record_started(self, fingerprint: str) -> None:
         """A request is sent to a backend server."""
         self._under_way[fingerprint] += 1
 
-    def ended(self, fingerprint: str) -> None:
+    def record_ended(self, fingerprint: str) -> None:
         """A request that was sent is over."""
         self._under_way[fingerprint] -= 1
         if not self._under_way[fingerprint]:
             del self._under_way[fingerprint]
 
-    def note_crash(self, report: CrashReport) -> None:
+    def record_crash(self, report: CrashReport) -> None:
         """A backend server crashed while it had a request of this instance.
 
         Others are told at the second crash, or when the request is over without an answer: most
@@ -169,7 +169,7 @@
         if len(suspect.starts) >= LAST_REPEAT:
             self._tell(suspect)
 
-    def note_over(self, fingerprint: str, *, answered: bool) -> None:
+    def record_finished(self, fingerprint: str, *, answered: bool) -> None:
         """A request of this instance is over; ``answered`` by a backend server that ran it."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
@@ -177,7 +177,7 @@
         if answered and len(suspect.starts) < CRASHES:
             self._clear(fingerprint)
             if suspect.told:
-                self._others.tell_cleared(fingerprint)
+                self._others.broadcast_cleared(fingerprint)
         elif not answered and not suspect.told:
             self._tell(suspect)
 
@@ -250,7 +250,7 @@
 
     def _tell(self, suspect: _Suspect) -> None:
         suspect.told = True
-        self._others.tell(suspect.report)
+        self._others.broadcast_crashes(suspect.report)
 
 
 def _log_quarantined(report: CrashReport, *, known: str) -> None:
--- a/src/wagtailpoint/quarantine/stored.py
+++ b/src/wagtailpoint/quarantine/stored.py
@@ -42,7 +42,7 @@
     servers: list[tuple[str, int]]
 
 
-def read_stored(stored: StoredObject) -> CrashReport | None:
+def decode_report(stored: StoredObject) -> CrashReport | None:
     """Read a quarantined request; None, with a log line, if it can't be read."""
     try:
         value = msgspec.convert(stored.value, _Value)
@@ -53,7 +53,7 @@
     return CrashReport(stored.name, value.method, value.host, value.target, starts)
 
 
-def stored_value(report: CrashReport) -> Any:
+def encode_report(report: CrashReport) -> Any:
     """What the store keeps of a quarantined request."""
     servers = [(start.server_id, start.started_ms) for start in report.starts]
     return msgspec.to_builtins(_Value(report.method, report.host, report.target, servers))
@@ -86,12 +86,12 @@
         self._known_since: dict[str, float] = {}
         self._written: dict[str, int] = {}
 
-    def take(self, state: KindState) -> None:
+    def apply_listing(self, state: KindState) -> None:
         """Take in what the store lists."""
         self._listed = dict(state.objects)
         now = trio.current_time()
         self._known_since = {name: self._known_since.get(name, now) for name in state.objects}
-        read = {name: read_stored(each) for name, each in state.objects.items()}
+        read = {name: decode_report(each) for name, each in state.objects.items()}
         reports = {name: report for name, report in read.items() if report is not None}
         # Written and not listed: removed again, unless what is listed is older than the write.
         seen = [name for name, version in self._written.items() if version <= state.version]
@@ -119,7 +119,7 @@
     async def _put(self, report: CrashReport) -> None:
         name = report.fingerprint
         written = await self._platform.put(
-            kind=KIND, name=name, value=stored_value(report), if_version=ABSENT
+            kind=KIND, name=name, value=encode_report(report), if_version=ABSENT
         )
         if not isinstance(written, Err):
             self._written[name] = written.ok_value.version
--- a/tests/common/allowance_group.py
+++ b/tests/common/allowance_group.py
@@ -9,7 +9,7 @@
 from tests.common.fake_peers import FakeNetwork, FakePeers
 from tests.common.fake_platform import FakePlatform
 from wagtailpoint.limits.allowance import Allowance
-from wagtailpoint.limits.allowance_sharing import AllowanceSharing, Spent
+from wagtailpoint.limits.allowance_sharing import AllowanceSharing, SpendResult
 from wagtailpoint.limits.allowance_slots import SLOTS_OF_A_REGION, AllowanceSlots, Slot
 from wagtailpoint.limits.lease import Holder
 from wagtailpoint.membership.member import Member
@@ -179,7 +179,7 @@
         started.membership.own = started.member._replace(state="starting")
         nursery.start_soon(started.run)
 
-    async def request(self, number: int, workspace: str) -> Spent:
+    async def request(self, number: int, workspace: str) -> SpendResult:
         """Spend a token for a request that arrives at an instance."""
         spent = await self.instances[number].sharing.spend(workspace)
         told = self.granted if spent.granted else self.refused
--- a/tests/common/steering_parts.py
+++ b/tests/common/steering_parts.py
@@ -11,7 +11,7 @@
 from wagtailpoint.discovery.fleet import Fleet
 from wagtailpoint.discovery.follower import KindFollower
 from wagtailpoint.discovery.freshness import Freshness
-from wagtailpoint.limits.allowance_sharing import Spent
+from wagtailpoint.limits.allowance_sharing import SpendResult
 from wagtailpoint.node_settings import Endpoint
 from wagtailpoint.observe.metrics import Metrics
 from wagtailpoint.placement.cached_fraction import CachedFraction
@@ -120,11 +120,11 @@
         self.reports: list[CrashReport] = []
         self.cleared: list[str] = []
 
-    def tell(self, report: CrashReport) -> None:
+    def broadcast_crashes(self, report: CrashReport) -> None:
         """Keep a report."""
         self.reports.append(report)
 
-    def tell_cleared(self, fingerprint: str) -> None:
+    def broadcast_cleared(self, fingerprint: str) -> None:
         """Keep the fingerprint."""
         self.cleared.append(fingerprint)
 
@@ -143,14 +143,14 @@
         self.wait_s = 2.0
         self.spent: list[str] = []
 
-    async def spend(self, workspace: str) -> Spent:
+    async def spend(self, workspace: str) -> SpendResult:
         """Count a request."""
         await trio.lowlevel.checkpoint()
         if not self.tokens:
-            return Spent(False, self.wait_s, "scripted")
+            return SpendResult(False, self.wait_s, "scripted")
         self.tokens -= 1
         self.spent.append(workspace)
-        return Spent(True, 0.0, "scripted")
+        return SpendResult(True, 0.0, "scripted")
 
 
 class SteeringParts:
--- a/tests/cover/test_admission.py
+++ b/tests/cover/test_admission.py
@@ -38,7 +38,7 @@
     def tier_of(self, server: BackendServer) -> int:
         return self._tier[server]
 
-    def taken(self, server: BackendServer) -> None:
+    def record_taken(self, server: BackendServer) -> None:
         pass
 
 
@@ -54,10 +54,10 @@
     def setUp(self) -> None:
         self.ended: list[tuple[str, object]] = []
 
-    def use(self, test, *, most_queued: int = 100, **options) -> None:
+    def use(self, test, *, max_queued: int = 100, **options) -> None:
         async def run() -> None:
             self.pool = SlotPool(
-                clock=TrioClock(), most_queued=most_queued, random=Random(1), **options
+                clock=TrioClock(), max_queued=max_queued, random=Random(1), **options
             )
             async with trio.open_nursery() as self.nursery:
                 await test()
@@ -237,7 +237,7 @@
             await self.ask("inherited", TONIGHT, workspace="inherited")
             self.assertEqual(self.names(), ["own 7"])
 
-        self.use(check, most_queued=8)
+        self.use(check, max_queued=8)
 
     def test_retry_goes_to_another_failure_domain_first(self) -> None:
         first, same, other = make_server(1), make_server(2), make_server(3, "near-b")
@@ -312,7 +312,7 @@
                 await self.ask(f"late {number}", TONIGHT, timeout_s=1.2)
             self.assertLess(self.pool.queued, 50)
 
-        self.use(check, most_queued=1000)
+        self.use(check, max_queued=1000)
 
     def test_urgent_arrivals_push_out_what_they_make_late(self) -> None:
         """Brochures wait, well within their deadline, and then forty urgent searches arrive.
@@ -333,7 +333,7 @@
             self.assertEqual(set(self.names()), {f"brochure {number}" for number in range(3)})
             self.assertTrue(all(isinstance(ended, Err) for _, ended in self.ended))
 
-        self.use(check, most_queued=1000)
+        self.use(check, max_queued=1000)
 
     def test_full_queue_gives_up_its_least_urgent(self) -> None:
         async def check() -> None:
@@ -344,7 +344,7 @@
             await self.ask("late brochure", BROCHURE)
             self.assertEqual(self.names(), ["brochure", "late brochure"])
 
-        self.use(check, most_queued=2)
+        self.use(check, max_queued=2)
 
     def test_cancelled_waiting_request_leaves_nothing_behind(self) -> None:
         async def check() -> None:
@@ -374,7 +374,7 @@
             codes = {answer.err_value.code for answer in answers if isinstance(answer, Err)}
             self.assertEqual(codes, {RefusalCode.WORKSPACE_LIMIT})
 
-        self.use(check, limit_part=lambda: 0.25)
+        self.use(check, limit_fraction=lambda: 0.25)
 
     def test_return_of_refused_callers_is_spread_by_the_overload(self) -> None:
         """A thousand callers are refused in one second and told to come back.
--- a/tests/cover/test_cli_quarantine.py
+++ b/tests/cover/test_cli_quarantine.py
@@ -11,7 +11,7 @@
 from wagtailpoint.discovery.entries import ServerStart
 from wagtailpoint.ports.platform import ABSENT
 from wagtailpoint.quarantine.quarantine import CrashReport
-from wagtailpoint.quarantine.stored import KIND, stored_value
+from wagtailpoint.quarantine.stored import KIND, encode_report
 
 DIGEST = "0123456789abcdef0123"
 STARTS = tuple(ServerStart(f"i-{number}", 0) for number in (1, 2, 3))
@@ -20,7 +20,7 @@
 
 class QuarantineCommandsTest(CliTestCase):
     def quarantine(self) -> None:
-        self.platform.store.put(KIND, DIGEST, stored_value(REPORT), ABSENT)
+        self.platform.store.put(KIND, DIGEST, encode_report(REPORT), ABSENT)
 
     def test_nothing_is_quarantined(self) -> None:
         self.assertIn("no request is quarantined", self.run_cli("quarantine", "list"))
--- a/tests/cover/test_health.py
+++ b/tests/cover/test_health.py
@@ -10,7 +10,7 @@
 from tests.common.fake_peers import FakeNetwork, FakePeers
 from wagtailpoint.config.model import BackendServer
 from wagtailpoint.health import HealthBoard, Outcome, State, outcome_of
-from wagtailpoint.health.drain_news import DrainNews
+from wagtailpoint.health.drain_broadcaster import DrainBroadcaster
 from wagtailpoint.ports.backend import BackendAddress, BackendFailure, FailureReason, LoadReport
 from wagtailpoint.ports.peers import PeerAddress
 from wagtailpoint.verdict import Verdict
@@ -183,7 +183,7 @@
         links = [FakePeers(network=network, address=place) for place in places]
         for place, board, peers in zip(places, boards, links, strict=True):
             others = tuple(other for other in places if other != place)
-            DrainNews(peers=peers, health=board, others=partial(tuple, others))
+            DrainBroadcaster(peers=peers, health=board, others=partial(tuple, others))
         server = BackendAddress("127.1.1.1", 9100)
 
         async def test() -> None:
--- a/tests/cover/test_keyed_requests.py
+++ b/tests/cover/test_keyed_requests.py
@@ -108,13 +108,13 @@
 
     def test_proof_that_ends_while_a_connection_opens(self) -> None:
         """Guards against a send after a pause of the process, by a check made before it."""
-        begin = self.parts.quarantine.began
+        begin = self.parts.quarantine.record_started
 
         def begin_and_lose_proof(fingerprint: str) -> None:
             begin(fingerprint)
             self.parts.proved = False
 
-        self.parts.quarantine.began = begin_and_lose_proof  # type: ignore[method-assign]
+        self.parts.quarantine.record_started = begin_and_lose_proof  # type: ignore[method-assign]
         self.assertEqual(self.status_of(CREDENTIALS), 503)
         self.assertEqual(self.requests, [])
 
--- a/tests/cover/test_lease.py
+++ b/tests/cover/test_lease.py
@@ -69,7 +69,7 @@
         """
         self.step(0)
         holder = self.processes[0]
-        holder.begin(self.leases[0].give_up)
+        holder.begin(self.leases[0].release)
         late = holder.waiting
         assert late is not None
         holder.receive(lost=True)
--- a/tests/cover/test_moves.py
+++ b/tests/cover/test_moves.py
@@ -168,7 +168,7 @@
             taken.append(affinity)
 
         async def check() -> None:
-            pool = SlotPool(clock=self.clock, most_queued=100)
+            pool = SlotPool(clock=self.clock, max_queued=100)
             slots = sum(one.slots for one in self.config.services["desk"].groups["old"])
             async with trio.open_nursery() as nursery:
                 for _ in range(slots + 1):
@@ -191,7 +191,7 @@
             self.clock.now += 0.01
             choice = servers.choice(small_plan(self.config))
             server = choice.candidates()[0]
-            choice.taken(server)
+            choice.record_taken(server)
             if server in groups["new"]:
                 times.append(self.clock.now)
                 # Full, it would go to the old group and not be refused.
--- a/tests/cover/test_quarantine.py
+++ b/tests/cover/test_quarantine.py
@@ -18,14 +18,14 @@
 from wagtailpoint.fingerprint import fingerprint
 from wagtailpoint.ports.peers import PeerAddress
 from wagtailpoint.ports.platform import StoredObject
-from wagtailpoint.quarantine.news import QuarantineNews
+from wagtailpoint.quarantine.crash_broadcaster import CrashBroadcaster
 from wagtailpoint.quarantine.quarantine import (
     MOST_SUSPECTS,
     Admission,
     CrashReport,
     Quarantine,
 )
-from wagtailpoint.quarantine.stored import KIND, LIFETIME_S, StoredQuarantine, read_stored
+from wagtailpoint.quarantine.stored import KIND, LIFETIME_S, StoredQuarantine, decode_report
 
 ASKED: dict[str, Any] = {"method": "GET", "host": "h", "target": "/r/7/1", "body": b""}
 
@@ -69,7 +69,7 @@
     def crash(self, *servers: int, name: str = NAME) -> None:
         """Let a request meet the crashes of numbered backend servers."""
         for number in servers:
-            self.quarantine.note_crash(report(number, name=name))
+            self.quarantine.record_crash(report(number, name=name))
 
 
 class QuarantineTest(unittest.TestCase):
@@ -112,7 +112,7 @@
         def test(taught: Taught) -> None:
             for number in range(9):
                 taught.crash(number)
-                taught.quarantine.note_over(NAME, answered=number % 2 == 1)
+                taught.quarantine.record_finished(NAME, answered=number % 2 == 1)
             self.assertIs(taught.quarantine.admission(NAME), Admission.ADMITTED)
             self.assertEqual(taught.told.cleared, [NAME] * 4)
 
@@ -123,7 +123,7 @@
 
         def test(taught: Taught) -> None:
             taught.crash(1)
-            taught.quarantine.note_over(NAME, answered=True)
+            taught.quarantine.record_finished(NAME, answered=True)
             self.assertEqual((taught.told.reports, taught.told.cleared), ([], []))
 
         self.run_with(test)
@@ -131,7 +131,7 @@
     def test_others_are_told_of_what_was_not_answered(self) -> None:
         def test(taught: Taught) -> None:
             taught.crash(1)
-            taught.quarantine.note_over(NAME, answered=False)
+            taught.quarantine.record_finished(NAME, answered=False)
             taught.crash(2)
             told = [[start.server_id for start in each.starts] for each in taught.told.reports]
             self.assertEqual(told, [["i-1"], ["i-1", "i-2"]])
@@ -154,11 +154,11 @@
 
         def test(taught: Taught) -> None:
             taught.crash(1)
-            taught.quarantine.began(NAME)
+            taught.quarantine.record_started(NAME)
             self.assertIs(taught.quarantine.admission(NAME), Admission.ADMITTED)
-            taught.quarantine.began(NAME)
+            taught.quarantine.record_started(NAME)
             self.assertIs(taught.quarantine.admission(NAME), Admission.SUSPECT)
-            taught.quarantine.ended(NAME)
+            taught.quarantine.record_ended(NAME)
             self.assertIs(taught.quarantine.admission(NAME), Admission.ADMITTED)
 
         self.run_with(test)
@@ -166,9 +166,9 @@
     def test_instance_repeats_it_once_by_itself(self) -> None:
         def test(taught: Taught) -> None:
             taught.crash(1)
-            self.assertTrue(taught.quarantine.may_repeat(NAME))
+            self.assertTrue(taught.quarantine.allows_retry(NAME))
             taught.crash(2)
-            self.assertFalse(taught.quarantine.may_repeat(NAME))
+            self.assertFalse(taught.quarantine.allows_retry(NAME))
 
         self.run_with(test)
 
@@ -228,8 +228,8 @@
             platform.down = False
             await trio.sleep(5.0)
             (listed,) = (await platform.list(kind=KIND)).unwrap().objects
-            self.assertEqual(read_stored(listed), report(1, 2, 3))
-            stored.take(await state(platform))
+            self.assertEqual(decode_report(listed), report(1, 2, 3))
+            stored.apply_listing(await state(platform))
             self.assertEqual(taught.quarantine.unstored, [])
 
         self.run_with(test)
@@ -241,7 +241,7 @@
             before = await state(platform)
             taught.crash(1, 2, 3)
             await trio.sleep(5.0)
-            stored.take(before)
+            stored.apply_listing(before)
             self.assertIs(taught.quarantine.admission(NAME), Admission.QUARANTINED)
 
         self.run_with(test)
@@ -252,7 +252,7 @@
             await trio.sleep(5.0)
             (listed,) = (await platform.list(kind=KIND)).unwrap().objects
             await platform.delete(kind=KIND, name=NAME, if_version=listed.version)
-            stored.take(await state(platform))
+            stored.apply_listing(await state(platform))
             self.assertIs(taught.quarantine.admission(NAME), Admission.ADMITTED)
 
         self.run_with(test)
@@ -261,7 +261,7 @@
         async def test(platform: FakePlatform, taught: Taught, stored: StoredQuarantine) -> None:
             taught.crash(1, 2, 3)
             await trio.sleep(5.0)
-            stored.take(await state(platform))
+            stored.apply_listing(await state(platform))
             await trio.sleep(LIFETIME_S - 60.0)
             self.assertEqual(len((await state(platform)).objects), 1)
             await trio.sleep(120.0)
@@ -271,7 +271,7 @@
 
     def test_object_that_can_not_be_read_shuts_nothing_out(self) -> None:
         wrong = StoredObject(KIND, "a", 3, {"method": 1})
-        self.assertIsNone(read_stored(wrong))
+        self.assertIsNone(decode_report(wrong))
 
 
 async def state(platform: FakePlatform) -> KindState:
@@ -294,7 +294,7 @@
                 for place in places:
                     peers = FakePeers(network=network, address=place)
                     others = tuple(each for each in places if each != place)
-                    news = QuarantineNews(peers=peers, others=partial(tuple, others))
+                    news = CrashBroadcaster(peers=peers, others=partial(tuple, others))
                     quarantines.append(Quarantine(others=news))
                     news.listen(quarantines[-1])
                     nursery.start_soon(peers.run)
@@ -309,8 +309,8 @@
 
         async def test(quarantines: list[Quarantine], network: FakeNetwork) -> None:
             for number, each in enumerate(quarantines):
-                each.note_crash(report(number))
-                each.note_over(NAME, answered=False)
+                each.record_crash(report(number))
+                each.record_finished(NAME, answered=False)
                 await trio.sleep(0.1)
             found = {each.admission(NAME) for each in quarantines}
             self.assertEqual(found, {Admission.QUARANTINED})
@@ -323,11 +323,11 @@
         async def test(quarantines: list[Quarantine], network: FakeNetwork) -> None:
             network.cut_apart(["127.0.0.1"], ["127.0.0.2", "127.0.0.3"])
             for number in range(3):
-                quarantines[1].note_crash(report(number))
+                quarantines[1].record_crash(report(number))
             await trio.sleep(0.1)
             network.heal()
-            quarantines[0].note_crash(report(7))
-            quarantines[0].note_over(NAME, answered=False)
+            quarantines[0].record_crash(report(7))
+            quarantines[0].record_finished(NAME, answered=False)
             await trio.sleep(0.1)
             self.assertIs(quarantines[0].admission(NAME), Admission.QUARANTINED)
 
@@ -336,9 +336,9 @@
     def test_answer_at_one_clears_it_at_all(self) -> None:
         async def test(quarantines: list[Quarantine], network: FakeNetwork) -> None:
             for number in range(2):
-                quarantines[0].note_crash(report(number))
+                quarantines[0].record_crash(report(number))
             await trio.sleep(0.1)
-            quarantines[2].note_over(NAME, answered=True)
+            quarantines[2].record_finished(NAME, answered=True)
             await trio.sleep(0.1)
             self.assertEqual([each.crashes(NAME) for each in quarantines], [0, 0, 0])
 
@@ -350,8 +350,8 @@
         async def test(quarantines: list[Quarantine], network: FakeNetwork) -> None:
             before = network.delivered_bytes
             for number in range(5000):
-                quarantines[0].note_crash(report(1, name=f"{number:020x}"))
-                quarantines[0].note_over(f"{number:020x}", answered=False)
+                quarantines[0].record_crash(report(1, name=f"{number:020x}"))
+                quarantines[0].record_finished(f"{number:020x}", answered=False)
             await trio.sleep(1.0)
             self.assertLess(network.delivered_bytes - before, 50_000)
 
@@ -359,8 +359,8 @@
 
     def test_report_that_names_nothing_is_dropped(self) -> None:
         async def test(quarantines: list[Quarantine], network: FakeNetwork) -> None:
-            quarantines[0].note_crash(report(1, name="../config/main"))
-            quarantines[0].note_over("../config/main", answered=False)
+            quarantines[0].record_crash(report(1, name="../config/main"))
+            quarantines[0].record_finished("../config/main", answered=False)
             await trio.sleep(0.1)
             self.assertEqual(quarantines[1].suspects, 0)
 
--- a/tests/nocover/test_quarantine_schedules.py
+++ b/tests/nocover/test_quarantine_schedules.py
@@ -19,7 +19,7 @@
 from wagtailpoint.discovery.entries import ServerStart
 from wagtailpoint.discovery.kind_state import state_from_listing
 from wagtailpoint.ports.peers import PeerAddress
-from wagtailpoint.quarantine.news import QuarantineNews
+from wagtailpoint.quarantine.crash_broadcaster import CrashBroadcaster
 from wagtailpoint.quarantine.quarantine import Admission, CrashReport, Quarantine
 from wagtailpoint.quarantine.stored import KIND, StoredQuarantine
 
@@ -71,7 +71,7 @@
 
     async def _run_process(self) -> None:
         peers = FakePeers(network=self._world.network, address=self._place)
-        news = QuarantineNews(peers=peers, others=partial(self._world.others, self._place))
+        news = CrashBroadcaster(peers=peers, others=partial(self._world.others, self._place))
         self.quarantine = Quarantine(others=news)
         news.listen(self.quarantine)
         stored = StoredQuarantine(
@@ -86,7 +86,7 @@
             while True:
                 listing = await self.platform.list(kind=KIND)
                 if listing.is_ok():
-                    stored.take(state_from_listing(listing.unwrap()))
+                    stored.apply_listing(state_from_listing(listing.unwrap()))
                 await trio.sleep(FOLLOW_S)
 
 
@@ -111,20 +111,20 @@
         for _ in range(2):
             if quarantine.admission(name) is not Admission.ADMITTED:
                 break
-            quarantine.began(name)
+            quarantine.record_started(name)
             in_touch = instance.in_touch
             await trio.sleep(RUNS_S)
-            quarantine.ended(name)
+            quarantine.record_ended(name)
             answered = self._random.random() >= crash_part
             if answered:
                 break
             if name == GUILTY:
                 self.crashes.append(Crash(trio.current_time(), in_touch))
             start = ServerStart(f"i-{next(self._starts)}", 0)
-            quarantine.note_crash(CrashReport(name, "GET", "h", "/x", (start,)))
-            if not quarantine.may_repeat(name):
+            quarantine.record_crash(CrashReport(name, "GET", "h", "/x", (start,)))
+            if not quarantine.allows_retry(name):
                 break
-        quarantine.note_over(name, answered=answered)
+        quarantine.record_finished(name, answered=answered)
 
     async def disturb(self) -> None:
         """Cut an instance off from the store or from its peers for a while, or restart it."""
@@ -199,7 +199,7 @@
             instance = random.choice(world.instances)
             await world.ask(instance, GOOD, crash_part=0.0)
             start = ServerStart(f"j-{random.random()}", 0)
-            instance.quarantine.note_crash(CrashReport(GOOD, "GET", "h", "/x", (start,)))
+            instance.quarantine.record_crash(CrashReport(GOOD, "GET", "h", "/x", (start,)))
             await world.ask(instance, GOOD, crash_part=0.0)
             if random.random() < 0.3:
                 nursery.start_soon(world.disturb)
