--- a/src/wagtailpoint/config/blocks.py
+++ b/src/wagtailpoint/config/blocks.py
@@ -17,7 +17,7 @@
 from wagtailpoint.config.packed import PackedTexts, unpack
 from wagtailpoint.errors import Mistake
 
-_MOST_LENGTH_DIGITS = 3
+_MAX_PREFIX_LENGTH_DIGITS = 3
 
 
 class RegionBlocks(NamedTuple):
@@ -49,8 +49,8 @@
 
     def without(self, other: "BlockList") -> "BlockList":
         """Return the parts that are not, as the very same objects, parts of another list."""
-        theirs = {id(part) for part in other._parts}
-        return BlockList(parts=[part for part in self._parts if id(part) not in theirs])
+        other_parts = {id(part) for part in other._parts}
+        return BlockList(parts=[part for part in self._parts if id(part) not in other_parts])
 
     def __eq__(self, other: object) -> bool:
         if self is other:
@@ -67,11 +67,11 @@
 
     def __getitem__(self, index: int | slice) -> ClientBlock | Sequence[ClientBlock]:
         if isinstance(index, slice):
-            return [self[place] for place in range(*index.indices(len(self)))]
-        place = index + len(self) if index < 0 else index
+            return [self[position] for position in range(*index.indices(len(self)))]
+        position = index + len(self) if index < 0 else index
         for part, end in zip(self._parts, self._ends, strict=True):
-            if 0 <= place < end:
-                return ClientBlock(part.networks[place - end], part.region)
+            if 0 <= position < end:
+                return ClientBlock(part.networks[position - end], part.region)
         raise IndexError(f"block {index} of {len(self)}")
 
 
@@ -100,31 +100,33 @@
             The blocks: the very same list as the last time if nothing changed. Of use only if no
             mistake was recorded.
         """
-        if self._is_same(values):
+        if self._is_unchanged(values):
             return self._blocks
-        found: list[Mistake] = []
-        parts = {name: self._read_one(name, value, found) for name, value in values.items()}
-        self._hashes = {name: self._hashes_of(name, part) for name, part in parts.items()}
+        found_mistakes: list[Mistake] = []
+        parts = {
+            name: self._read_object(name, value, found_mistakes) for name, value in values.items()
+        }
+        self._hashes = {name: self._hash_networks(name, part) for name, part in parts.items()}
         if not _are_distinct(self._hashes.values()):
-            _check_duplicates(parts, found)
+            _check_duplicates(parts, found_mistakes)
         self._parts = parts
-        if found:
-            mistakes += found
+        if found_mistakes:
+            mistakes += found_mistakes
             self._values = {}
         else:
             self._values = dict(values)
             self._blocks = BlockList(parts=tuple(parts.values()))
         return self._blocks
 
-    def _is_same(self, values: Mapping[str, Any]) -> bool:
+    def _is_unchanged(self, values: Mapping[str, Any]) -> bool:
         return self._values.keys() == values.keys() and all(
             self._values[name] is value for name, value in values.items()
         )
 
-    def _read_one(self, name: str, value: Any, mistakes: list[Mistake]) -> RegionBlocks:
+    def _read_object(self, name: str, value: Any, mistakes: list[Mistake]) -> RegionBlocks:
         if name in self._values and self._values[name] is value:
             return self._parts[name]
-        reader = ObjectReader(value=unpack(value), path=_path(name), mistakes=mistakes)
+        reader = ObjectReader(value=unpack(value), path=_object_path(name), mistakes=mistakes)
         region = reader.text("region")
         networks = reader.texts("networks", expected="networks")
         for index, network in enumerate(networks):
@@ -136,7 +138,7 @@
         raw = packed if isinstance(packed, msgspec.Raw) else None
         return RegionBlocks(region, PackedTexts(networks, raw=raw))
 
-    def _hashes_of(self, name: str, part: RegionBlocks) -> "array[int]":
+    def _hash_networks(self, name: str, part: RegionBlocks) -> "array[int]":
         if self._parts.get(name) is part:
             return self._hashes[name]
         return array("q", map(hash, part.networks))
@@ -145,7 +147,7 @@
 def is_network(text: str) -> bool:
     """Whether a string is ``ADDRESS/LENGTH`` without bits beyond the length."""
     address, _, length = text.partition("/")
-    if not (length.isascii() and length.isdecimal()) or len(length) > _MOST_LENGTH_DIGITS:
+    if not (length.isascii() and length.isdecimal()) or len(length) > _MAX_PREFIX_LENGTH_DIGITS:
         return False
     try:
         packed = socket.inet_pton(socket.AF_INET6 if ":" in address else socket.AF_INET, address)
@@ -155,36 +157,38 @@
     return host_bits >= 0 and int.from_bytes(packed, "big") & ((1 << host_bits) - 1) == 0
 
 
-def _path(name: str) -> str:
+def _object_path(name: str) -> str:
     return f"blocks/{name}: "
 
 
 def _are_distinct(hashes: Iterable["array[int]"]) -> bool:
     """Whether no two strings can be the same; without a set of all of them, which takes 50 MB."""
-    in_order = sorted(chain.from_iterable(hashes))
-    return not any(one == other for one, other in pairwise(in_order))
+    sorted_hashes = sorted(chain.from_iterable(hashes))
+    return not any(previous == following for previous, following in pairwise(sorted_hashes))
 
 
 def _check_duplicates(parts: Mapping[str, RegionBlocks], mistakes: list[Mistake]) -> None:
     seen: set[str] = set()
     for name, part in parts.items():
-        before = len(seen)
+        count_before = len(seen)
         seen.update(part.networks)
-        if len(seen) == before + len(part.networks):
+        if len(seen) == count_before + len(part.networks):
             continue
-        for network in _repeated(name, part, parts):
+        for network in _find_duplicates(name, part, parts):
             expected = "a network of its own; it stands once before"
-            mistakes.append(Mistake(f"{_path(name)}networks", show(network), expected))
+            mistakes.append(Mistake(f"{_object_path(name)}networks", show(network), expected))
 
 
-def _repeated(name: str, part: RegionBlocks, parts: Mapping[str, RegionBlocks]) -> Iterator[str]:
+def _find_duplicates(
+    name: str, part: RegionBlocks, parts: Mapping[str, RegionBlocks]
+) -> Iterator[str]:
     """The networks of one object that stand before, in it or in an earlier one."""
-    earlier: set[str] = set()
+    earlier_networks: set[str] = set()
     for other, other_part in parts.items():
         if other == name:
             break
-        earlier.update(other_part.networks)
+        earlier_networks.update(other_part.networks)
     for network in part.networks:
-        if network in earlier:
+        if network in earlier_networks:
             yield network
-        earlier.add(network)
+        earlier_networks.add(network)
--- a/src/wagtailpoint/config/compile.py
+++ b/src/wagtailpoint/config/compile.py
@@ -29,14 +29,14 @@
     read_workspace,
     read_workspace_source,
 )
-from wagtailpoint.config.templates import Template, fill_in, read_template
+from wagtailpoint.config.templates import Template, expand_template, read_template
 from wagtailpoint.errors import InvalidInput, Mistake
 from wagtailpoint.ports.backend import BackendAddress
 
 _T = TypeVar("_T")
 
 
-class _Draft(NamedTuple):
+class _ParsedObjects(NamedTuple):
     """Every object read by itself; what they say of each other is not yet checked."""
 
     regions: dict[str, Region]
@@ -70,30 +70,30 @@
         and what is expected.
     """
     mistakes: list[Mistake] = []
-    draft = _read_all(objects, block_reader or BlockReader(), mistakes)
-    _check_regions(draft, mistakes)
-    _check_services(draft, mistakes)
-    workspaces = _expand_workspaces(draft, mistakes)
-    _check_moves(draft, workspaces, mistakes)
-    _check_drains(draft, mistakes)
-    _check_blocks(draft, mistakes)
+    parsed = _parse_objects(objects, block_reader or BlockReader(), mistakes)
+    _check_regions(parsed, mistakes)
+    _check_services(parsed, mistakes)
+    workspaces = _expand_workspaces(parsed, mistakes)
+    _check_moves(parsed, workspaces, mistakes)
+    _check_drains(parsed, mistakes)
+    _check_blocks(parsed, mistakes)
     if mistakes:
         return Err(InvalidInput(mistakes))
     config = EffectiveConfig(
         version=version,
-        regions=draft.regions,
-        services=draft.services,
+        regions=parsed.regions,
+        services=parsed.services,
         workspaces=workspaces,
-        moves=draft.moves,
-        drains=draft.drains,
-        client_blocks=draft.blocks,
+        moves=parsed.moves,
+        drains=parsed.drains,
+        client_blocks=parsed.blocks,
     )
     return Ok(config)
 
 
-def _read_all(
+def _parse_objects(
     objects: Mapping[str, Any], block_reader: BlockReader, mistakes: list[Mistake]
-) -> _Draft:
+) -> _ParsedObjects:
     by_kind: dict[str, dict[str, Any]] = {kind: {} for kind in KINDS}
     for key in sorted(objects):
         kind, _, name = key.partition("/")
@@ -111,7 +111,7 @@
             for name, value in by_kind[kind].items()
         }
 
-    return _Draft(
+    return _ParsedObjects(
         regions=read("region", read_region),
         services=read("service", read_service),
         templates=read("template", lambda name, reader: read_template(name, reader, mistakes)),
@@ -123,18 +123,18 @@
     )
 
 
-def _check_regions(draft: _Draft, mistakes: list[Mistake]) -> None:
-    owner: dict[str, str] = {}
-    for region in draft.regions.values():
+def _check_regions(parsed: _ParsedObjects, mistakes: list[Mistake]) -> None:
+    owners: dict[str, str] = {}
+    for region in parsed.regions.values():
         path = f"region/{region.name}: "
         for index, domain in enumerate(region.failure_domains):
-            place = f"{path}failure_domains[{index}]"
-            check_name(path=place, given=domain, mistakes=mistakes)
-            if domain in owner:
-                expected = f"a name of its own; region/{owner[domain]} has it too"
-                mistakes.append(Mistake(place, show(domain), expected))
-            owner[domain] = region.name
-        others = set(draft.regions) - {region.name}
+            field_path = f"{path}failure_domains[{index}]"
+            check_name(path=field_path, given=domain, mistakes=mistakes)
+            if domain in owners:
+                expected = f"a name of its own; region/{owners[domain]} has it too"
+                mistakes.append(Mistake(field_path, show(domain), expected))
+            owners[domain] = region.name
+        others = set(parsed.regions) - {region.name}
         for other in region.latency_ms:
             check_reference(
                 path=f"{path}latency_ms.{other}",
@@ -148,117 +148,123 @@
             mistakes.append(Mistake(f"{path}latency_ms.{other}", "nothing", expected))
 
 
-def _check_services(draft: _Draft, mistakes: list[Mistake]) -> None:
-    owner: dict[BackendAddress, str] = {}
-    for service in draft.services.values():
+def _check_services(parsed: _ParsedObjects, mistakes: list[Mistake]) -> None:
+    owners: dict[BackendAddress, str] = {}
+    for service in parsed.services.values():
         for group, servers in service.groups.items():
             for index, server in enumerate(servers):
-                place = f"service/{service.name}: groups.{group}[{index}]"
+                field_path = f"service/{service.name}: groups.{group}[{index}]"
                 check_reference(
-                    path=f"{place}.failure_domain",
+                    path=f"{field_path}.failure_domain",
                     given=server.failure_domain,
-                    known=draft.failure_domains,
+                    known=parsed.failure_domains,
                     what="a failure domain of a region",
                     mistakes=mistakes,
                 )
-                if server.address in owner:
+                if server.address in owners:
                     # Its slots would be given out twice, by two groups that don't know of it.
-                    expected = f"a backend server of its own; {owner[server.address]} has it too"
-                    mistakes.append(Mistake(place, str(server.address), expected))
+                    expected = f"a backend server of its own; {owners[server.address]} has it too"
+                    mistakes.append(Mistake(field_path, str(server.address), expected))
                 elif server.address.address and server.address.port:
-                    owner[server.address] = place
+                    owners[server.address] = field_path
 
 
-def _expand_workspaces(draft: _Draft, mistakes: list[Mistake]) -> dict[str, Workspace]:
+def _expand_workspaces(parsed: _ParsedObjects, mistakes: list[Mistake]) -> dict[str, Workspace]:
     workspaces = {}
-    for source in draft.sources.values():
+    for source in parsed.sources.values():
         path = f"workspace/{source.name}: "
-        template = draft.templates.get(source.template)
+        template = parsed.templates.get(source.template)
         if template is None:
             check_reference(
                 path=f"{path}template",
                 given=source.template,
-                known=draft.templates,
+                known=parsed.templates,
                 what="a template",
                 mistakes=mistakes,
             )
             continue
-        found: list[Mistake] = []
-        body = fill_in(template, source.parameters, path=f"{path}parameters", mistakes=found)
-        if not found:
-            reader = ObjectReader(value=body, path=path, mistakes=found)
+        found_mistakes: list[Mistake] = []
+        body = expand_template(
+            template, source.parameters, path=f"{path}parameters", mistakes=found_mistakes
+        )
+        if not found_mistakes:
+            reader = ObjectReader(value=body, path=path, mistakes=found_mistakes)
             workspace = read_workspace(source.name, template.name, reader)
-            _check_workspace(workspace, draft, found)
+            _check_workspace(workspace, parsed, found_mistakes)
             workspaces[source.name] = workspace
             # The operator looks for the field in the workspace object, but it stands elsewhere.
             origin = f" (written in template/{template.name})"
-            found = [item._replace(expected=item.expected + origin) for item in found]
-        mistakes.extend(found)
+            found_mistakes = [
+                item._replace(expected=item.expected + origin) for item in found_mistakes
+            ]
+        mistakes.extend(found_mistakes)
     return workspaces
 
 
-def _check_workspace(workspace: Workspace, draft: _Draft, mistakes: list[Mistake]) -> None:
+def _check_workspace(workspace: Workspace, parsed: _ParsedObjects, mistakes: list[Mistake]) -> None:
     path = f"workspace/{workspace.name}: "
     for index, route in enumerate(workspace.routes):
-        place = f"{path}routes[{index}]"
+        field_path = f"{path}routes[{index}]"
         if not check_reference(
-            path=f"{place}.service",
+            path=f"{field_path}.service",
             given=route.service,
-            known=draft.services,
+            known=parsed.services,
             what="a service",
             mistakes=mistakes,
         ):
             continue
         check_reference(
-            path=f"{place}.class",
+            path=f"{field_path}.class",
             given=route.request_class,
-            known=draft.services[route.service].classes,
+            known=parsed.services[route.service].classes,
             what=f"a class of service/{route.service}",
             mistakes=mistakes,
         )
         if route.service not in workspace.groups:
-            expected = f"a group, {one_of(draft.services[route.service].groups)}"
+            expected = f"a group, {one_of(parsed.services[route.service].groups)}"
             mistakes.append(Mistake(f"{path}groups.{route.service}", "nothing", expected))
     for name, group in workspace.groups.items():
-        place = f"{path}groups.{name}"
+        field_path = f"{path}groups.{name}"
         if check_reference(
-            path=place, given=name, known=draft.services, what="a service", mistakes=mistakes
+            path=field_path, given=name, known=parsed.services, what="a service", mistakes=mistakes
         ):
             check_reference(
-                path=place,
+                path=field_path,
                 given=group,
-                known=draft.services[name].groups,
+                known=parsed.services[name].groups,
                 what=f"a group of service/{name}",
                 mistakes=mistakes,
             )
 
 
 def _check_moves(
-    draft: _Draft, workspaces: Mapping[str, Workspace], mistakes: list[Mistake]
+    parsed: _ParsedObjects, workspaces: Mapping[str, Workspace], mistakes: list[Mistake]
 ) -> None:
-    first: dict[tuple[str, str], str] = {}
-    for move in draft.moves.values():
+    first_moves: dict[tuple[str, str], str] = {}
+    for move in parsed.moves.values():
         path = f"move/{move.name}: "
         subject = (move.workspace, move.service)
-        if all(subject) and first.setdefault(subject, move.name) != move.name:
+        if all(subject) and first_moves.setdefault(subject, move.name) != move.name:
             given = show(f"{move.workspace}, {move.service}")
-            expected = f"one move of a workspace and service; move/{first[subject]} moves them"
+            expected = (
+                f"one move of a workspace and service; move/{first_moves[subject]} moves them"
+            )
             mistakes.append(Mistake(f"{path}workspace", given, expected))
         check_reference(
             path=f"{path}workspace",
             given=move.workspace,
-            known=draft.sources,
+            known=parsed.sources,
             what="a workspace",
             mistakes=mistakes,
         )
         if check_reference(
             path=f"{path}service",
             given=move.service,
-            known=draft.services,
+            known=parsed.services,
             what="a service",
             mistakes=mistakes,
         ):
-            _check_move_groups(move, draft.services[move.service], workspaces, mistakes)
+            _check_move_groups(move, parsed.services[move.service], workspaces, mistakes)
 
 
 def _check_move_groups(
@@ -287,14 +293,14 @@
         mistakes.append(Mistake(f"{path}from_group", show(move.from_group), expected))
 
 
-def _check_drains(draft: _Draft, mistakes: list[Mistake]) -> None:
+def _check_drains(parsed: _ParsedObjects, mistakes: list[Mistake]) -> None:
     servers = {
         str(server.address)
-        for service in draft.services.values()
+        for service in parsed.services.values()
         for group in service.groups.values()
         for server in group
     }
-    for drain in draft.drains.values():
+    for drain in parsed.drains.values():
         path = f"drain/{drain.name}: "
         if drain.backend_server is not None and str(drain.backend_server) not in servers:
             expected = "the address and port of a backend server of a service"
@@ -304,18 +310,18 @@
             check_reference(
                 path=f"{path}failure_domain",
                 given=drain.failure_domain,
-                known=draft.failure_domains,
+                known=parsed.failure_domains,
                 what="a failure domain of a region",
                 mistakes=mistakes,
             )
 
 
-def _check_blocks(draft: _Draft, mistakes: list[Mistake]) -> None:
-    for name, part in draft.block_parts.items():
+def _check_blocks(parsed: _ParsedObjects, mistakes: list[Mistake]) -> None:
+    for name, part in parsed.block_parts.items():
         check_reference(
             path=f"blocks/{name}: region",
             given=part.region,
-            known=draft.regions,
+            known=parsed.regions,
             what="a region",
             mistakes=mistakes,
         )
--- a/src/wagtailpoint/config/files.py
+++ b/src/wagtailpoint/config/files.py
@@ -19,23 +19,25 @@
     """
     mistakes: list[Mistake] = []
     objects: dict[str, Any] = {}
-    found_in: dict[str, Path] = {}
-    for path in _files(paths, mistakes):
+    source_files: dict[str, Path] = {}
+    for path in _list_files(paths, mistakes):
         for key, value in _read_file(path, mistakes).items():
             if key in objects:
-                mistakes.append(Mistake(f"{path}: {key}", "again", f"once; {found_in[key]} has it"))
+                mistakes.append(
+                    Mistake(f"{path}: {key}", "again", f"once; {source_files[key]} has it")
+                )
             objects[key] = value
-            found_in[key] = path
+            source_files[key] = path
     return Err(InvalidInput(mistakes)) if mistakes else Ok(objects)
 
 
-def _files(paths: Sequence[Path], mistakes: list[Mistake]) -> list[Path]:
+def _list_files(paths: Sequence[Path], mistakes: list[Mistake]) -> list[Path]:
     files = []
     for path in paths:
-        inside = sorted(path.glob("*.json")) if path.is_dir() else [path]
-        if not inside:
+        directory_files = sorted(path.glob("*.json")) if path.is_dir() else [path]
+        if not directory_files:
             mistakes.append(Mistake(str(path), "a directory without any", "*.json files"))
-        files.extend(inside)
+        files.extend(directory_files)
     return files
 
 
--- a/src/wagtailpoint/config/manifest.py
+++ b/src/wagtailpoint/config/manifest.py
@@ -14,7 +14,7 @@
 HEAD_KIND = "config-head"
 HEAD_NAME = "current"
 
-MOST_OBJECT_BYTES = 900_000
+MAX_OBJECT_BYTES = 900_000
 """The platform takes values up to a megabyte; the rest is left for its own envelope."""
 
 _NO_HASHES: Mapping[str, str] = MappingProxyType({})
@@ -78,7 +78,7 @@
     objects: dict[str, str]
 
 
-def info_of(manifest: Manifest) -> ChangeInfo:
+def change_info(manifest: Manifest) -> ChangeInfo:
     """The change that a manifest stores."""
     return ChangeInfo(
         version=manifest["version"],
@@ -113,7 +113,9 @@
     mistakes += [
         Mistake(key, "both a put and a delete", "one of the two") for key in puts if key in deletes
     ]
-    mistakes += [mistake for key, value in puts.items() for mistake in _size_mistakes(key, value)]
+    mistakes += [
+        mistake for key, value in puts.items() for mistake in _find_size_mistakes(key, value)
+    ]
     if mistakes:
         raise InvalidInput(mistakes)
 
@@ -125,15 +127,15 @@
         InvalidInput: It is too large.
     """
     size = len(msgspec.json.encode(manifest))
-    if size > MOST_OBJECT_BYTES:
+    if size > MAX_OBJECT_BYTES:
         given = f"{len(manifest['objects'])} objects, a manifest of {size} bytes"
-        expected = f"at most {MOST_OBJECT_BYTES} bytes; put several values into one object"
+        expected = f"at most {MAX_OBJECT_BYTES} bytes; put several values into one object"
         raise InvalidInput([Mistake("configuration", given, expected)])
 
 
-def _size_mistakes(key: str, value: Any) -> list[Mistake]:
+def _find_size_mistakes(key: str, value: Any) -> list[Mistake]:
     size = len(msgspec.json.encode(value))
-    if size <= MOST_OBJECT_BYTES:
+    if size <= MAX_OBJECT_BYTES:
         return []
-    expected = f"at most {MOST_OBJECT_BYTES} bytes of JSON; split it into several objects"
+    expected = f"at most {MAX_OBJECT_BYTES} bytes of JSON; split it into several objects"
     return [Mistake(key, f"{size} bytes", expected)]
--- a/src/wagtailpoint/config/packed.py
+++ b/src/wagtailpoint/config/packed.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-_LEAST_PACKED = 64
+_MIN_PACKED_LENGTH = 64
 _decoder = msgspec.json.Decoder(list[str])
 
 
@@ -50,7 +50,7 @@
     """Return an object's value with its long lists of strings packed."""
     if not isinstance(value, dict):
         return value
-    return {name: _packed(item) for name, item in value.items()}
+    return {name: _pack_item(item) for name, item in value.items()}
 
 
 def unpack(value: Any) -> Any:
@@ -63,10 +63,10 @@
     }
 
 
-def _packed(item: Any) -> Any:
+def _pack_item(item: Any) -> Any:
     if (
         isinstance(item, list)
-        and len(item) >= _LEAST_PACKED
+        and len(item) >= _MIN_PACKED_LENGTH
         and all(isinstance(text, str) for text in item)
     ):
         return msgspec.Raw(msgspec.json.encode(item))
--- a/src/wagtailpoint/config/reader.py
+++ b/src/wagtailpoint/config/reader.py
@@ -15,18 +15,18 @@
     Head,
     Manifest,
     Snapshot,
+    change_info,
     hash_of,
-    info_of,
 )
 from wagtailpoint.errors import PlatformUnavailable
 from wagtailpoint.ports.platform import ABSENT, Platform, StoredObject
 
-_MOST_FETCHES_AT_ONCE = 8
+_MAX_CONCURRENT_FETCHES = 8
 
 _T = TypeVar("_T")
 
 
-class Current(NamedTuple):
+class CurrentHead(NamedTuple):
     """The head as it was read, and its manifest; before the first change both are absent."""
 
     head_version: int
@@ -58,28 +58,32 @@
         self._platform = platform
         self._keep = keep
 
-    async def current(self) -> Result[Current, PlatformUnavailable]:
+    async def read_current(self) -> Result[CurrentHead, PlatformUnavailable]:
         """Read the head and its manifest."""
         head = await self._platform.get(kind=HEAD_KIND, name=HEAD_NAME)
-        return head if isinstance(head, Err) else await self.current_at(head.ok_value)
+        return head if isinstance(head, Err) else await self.read_at_head(head.ok_value)
 
-    async def current_at(self, head: StoredObject | None) -> Result[Current, PlatformUnavailable]:
+    async def read_at_head(
+        self, head: StoredObject | None
+    ) -> Result[CurrentHead, PlatformUnavailable]:
         """Read the manifest of a head that was already read."""
         if head is None:
-            return Ok(Current(ABSENT, None, None))
-        value = converted(head.value, Head)
+            return Ok(CurrentHead(ABSENT, None, None))
+        value = convert_value(head.value, Head)
         if isinstance(value, Err):
             return value
         name = value.ok_value["manifest"]
-        return (await self.manifest(name)).map(lambda one: Current(head.version, name, one))
+        return (await self.read_manifest(name)).map(
+            lambda manifest: CurrentHead(head.version, name, manifest)
+        )
 
-    async def manifest(self, name: str) -> Result[Manifest, PlatformUnavailable]:
+    async def read_manifest(self, name: str) -> Result[Manifest, PlatformUnavailable]:
         """Read one manifest."""
-        return (await self._immutable(MANIFEST_KIND, name)).and_then(
-            lambda value: converted(value, Manifest)
+        return (await self._read_immutable(MANIFEST_KIND, name)).and_then(
+            lambda value: convert_value(value, Manifest)
         )
 
-    async def _immutable(self, kind: str, name: str) -> Result[Any, PlatformUnavailable]:
+    async def _read_immutable(self, kind: str, name: str) -> Result[Any, PlatformUnavailable]:
         outcome = await self._platform.get(kind=kind, name=name)
         if isinstance(outcome, Err):
             return outcome
@@ -88,8 +92,8 @@
             return Err(PlatformUnavailable(f"{kind}/{name} can't be read yet"))
         return Ok(outcome.ok_value.value)
 
-    async def newer_than(
-        self, current: Current, version: int
+    async def read_manifests_after(
+        self, current: CurrentHead, version: int
     ) -> Result[list[Manifest], PlatformUnavailable]:
         """The manifests after ``version``, the newest first."""
         found: list[Manifest] = []
@@ -98,39 +102,39 @@
             found.append(manifest)
             if manifest["parent"] is None or manifest["version"] == version + 1:
                 break
-            parent = await self.manifest(manifest["parent"])
+            parent = await self.read_manifest(manifest["parent"])
             if isinstance(parent, Err):
                 return parent
             manifest = parent.ok_value
         return Ok(found)
 
-    async def snapshot(
+    async def read_snapshot(
         self, manifest: Manifest, known: Mapping[str, Any]
     ) -> Result[Snapshot, PlatformUnavailable]:
         """Put a snapshot together, fetching the contents that are not in ``known``."""
         hashes = manifest["objects"]
-        contents = {one: known[one] for one in hashes.values() if one in known}
+        contents = {name: known[name] for name in hashes.values() if name in known}
         missing = iter(sorted(set(hashes.values()) - contents.keys()))
         failures: list[PlatformUnavailable] = []
 
         async def fetch() -> None:
             for name in missing:
-                outcome = await self._immutable(CONTENT_KIND, name)
+                outcome = await self._read_immutable(CONTENT_KIND, name)
                 if isinstance(outcome, Err):
                     failures.append(outcome.err_value)
                     return
                 contents[name] = self._keep(outcome.ok_value)
 
         async with trio.open_nursery() as nursery:
-            for _ in range(_MOST_FETCHES_AT_ONCE):
+            for _ in range(_MAX_CONCURRENT_FETCHES):
                 nursery.start_soon(fetch)
         if failures:
             return Err(failures[0])
         objects = {key: contents[content] for key, content in hashes.items()}
-        return Ok(Snapshot(info_of(manifest), objects, hashes))
+        return Ok(Snapshot(change_info(manifest), objects, hashes))
 
 
-def converted(value: Any, wire_type: type[_T]) -> Result[_T, PlatformUnavailable]:
+def convert_value(value: Any, wire_type: type[_T]) -> Result[_T, PlatformUnavailable]:
     """The value as ``wire_type``, or what is wrong with it."""
     try:
         return Ok(msgspec.convert(value, wire_type))
@@ -138,7 +142,7 @@
         return Err(PlatformUnavailable(f"not a {wire_type.__name__.lower()}: {error}"))
 
 
-def contents_of(snapshot: Snapshot | None) -> dict[str, Any]:
+def contents_by_hash(snapshot: Snapshot | None) -> dict[str, Any]:
     """The contents of a snapshot by their hash."""
     if snapshot is None:
         return {}
--- a/src/wagtailpoint/config/store.py
+++ b/src/wagtailpoint/config/store.py
@@ -23,19 +23,19 @@
     Head,
     Manifest,
     Snapshot,
+    change_info,
     changed_keys,
     check_manifest,
     check_objects,
     hash_of,
-    info_of,
 )
-from wagtailpoint.config.reader import ConfigReader, Current, contents_of, converted
+from wagtailpoint.config.reader import ConfigReader, CurrentHead, contents_by_hash, convert_value
 from wagtailpoint.errors import InvalidInput, Mistake, OutcomeUnknown, PlatformUnavailable
 from wagtailpoint.ports.platform import ABSENT, Conflict, Platform, StoredObject
 
-_MOST_REBASES = 50
+_MAX_REBASES = 50
 _CHANGE_ID_BYTES = 16
-_SETTLE_PAUSE_S = 0.1
+_RETRY_DELAY_S = 0.1
 
 
 class ApplyConflict(NamedTuple):
@@ -53,7 +53,7 @@
 ApplyError = ApplyConflict | OutcomeUnknown | PlatformUnavailable
 
 
-class _Change(NamedTuple):
+class _RequestedChange(NamedTuple):
     """What an operator asked for, whichever version it will land on.
 
     Attributes:
@@ -66,13 +66,13 @@
     puts: Mapping[str, str]
     deletes: frozenset[str] | None
 
-    def touches(self, changed: frozenset[str]) -> frozenset[str]:
+    def overlapping_keys(self, changed: frozenset[str]) -> frozenset[str]:
         """Which of the objects that somebody else changed this change is about."""
         if self.deletes is None:
             return changed
         return changed & (self.deletes | self.puts.keys())
 
-    def on(self, current: Current) -> Manifest:
+    def build_manifest(self, current: CurrentHead) -> Manifest:
         """The manifest of this change as the one after ``current``."""
         kept = {
             key: content
@@ -143,17 +143,17 @@
         """Like ``read_since`` for a head that was already read, for example by a watch."""
         if head is None:
             return Ok(known)
-        value = converted(head.value, Head)
+        value = convert_value(head.value, Head)
         if isinstance(value, Err):
             return value
         if known is not None and value.ok_value["version"] <= known.change.version:
             return Ok(known)
-        manifest = await self._reader.manifest(value.ok_value["manifest"])
+        manifest = await self._reader.read_manifest(value.ok_value["manifest"])
         if isinstance(manifest, Err):
             return manifest
-        known_contents = {**self._contents, **contents_of(known)}
-        snapshot = await self._reader.snapshot(manifest.ok_value, known_contents)
-        self._contents = contents_of(snapshot.unwrap_or(None)) or self._contents
+        known_contents = {**self._contents, **contents_by_hash(known)}
+        snapshot = await self._reader.read_snapshot(manifest.ok_value, known_contents)
+        self._contents = contents_by_hash(snapshot.unwrap_or(None)) or self._contents
         return snapshot
 
     async def apply(
@@ -174,7 +174,7 @@
             InvalidInput: A key or a value that can't be stored, or ``check`` refused the result.
         """
         check_objects(puts, frozenset(deletes))
-        change = _Change(
+        change = _RequestedChange(
             info=self._new_info(author, message),
             base_version=base_version,
             puts={key: hash_of(value) for key, value in puts.items()},
@@ -195,7 +195,7 @@
         target = await self._manifest_at(to_version)
         if isinstance(target, Err):
             return target
-        change = _Change(
+        change = _RequestedChange(
             info=self._new_info(author, message),
             base_version=base_version,
             puts=target.ok_value["objects"],
@@ -205,11 +205,13 @@
 
     async def history(self, *, most: int) -> Result[list[ChangeInfo], PlatformUnavailable]:
         """The newest changes, the newest first; one call of the platform for each."""
-        current = await self._reader.current()
+        current = await self._reader.read_current()
         if isinstance(current, Err):
             return current
-        manifests = await self._reader.newer_than(current.ok_value, current.ok_value.version - most)
-        return manifests.map(lambda found: [info_of(manifest) for manifest in found])
+        manifests = await self._reader.read_manifests_after(
+            current.ok_value, current.ok_value.version - most
+        )
+        return manifests.map(lambda found: [change_info(manifest) for manifest in found])
 
     async def at(self, version: int) -> Result[Snapshot, PlatformUnavailable]:
         """Read the configuration as of one version.
@@ -220,70 +222,72 @@
         manifest = await self._manifest_at(version)
         if isinstance(manifest, Err):
             return manifest
-        return await self._reader.snapshot(manifest.ok_value, self._contents)
+        return await self._reader.read_snapshot(manifest.ok_value, self._contents)
 
     def _new_info(self, author: str, message: str) -> ChangeInfo:
         change_id = secrets.token_hex(_CHANGE_ID_BYTES)
         return ChangeInfo(0, change_id, author, self._clock_wall(), message)
 
     async def _manifest_at(self, version: int) -> Result[Manifest, PlatformUnavailable]:
-        current = await self._reader.current()
+        current = await self._reader.read_current()
         if isinstance(current, Err):
             return current
         newest = current.ok_value.version
         if not 1 <= version <= newest:
             raise InvalidInput([Mistake("version", str(version), f"one from 1 to {newest}")])
-        manifests = await self._reader.newer_than(current.ok_value, version - 1)
+        manifests = await self._reader.read_manifests_after(current.ok_value, version - 1)
         return manifests.map(lambda found: found[-1])
 
     async def _commit(
-        self, change: _Change, contents: dict[str, Any]
+        self, change: _RequestedChange, contents: dict[str, Any]
     ) -> Result[Snapshot, ApplyError]:
         """Make the change the next one, on top of whatever others changed meanwhile."""
-        current = await self._reader.current()
-        for _ in range(_MOST_REBASES):
+        current = await self._reader.read_current()
+        for _ in range(_MAX_REBASES):
             if isinstance(current, Err):
                 return current
-            conflict = await self._conflict(change, current.ok_value)
+            conflict = await self._find_conflict(change, current.ok_value)
             if isinstance(conflict, Err):
                 return conflict
-            outcome = await self._attempt(change, current.ok_value, contents)
+            outcome = await self._try_commit(change, current.ok_value, contents)
             if not isinstance(outcome, Err):
-                self._contents = contents_of(outcome.ok_value)
+                self._contents = contents_by_hash(outcome.ok_value)
                 return outcome
             if not isinstance(outcome.err_value, Conflict):
                 return Err(outcome.err_value)
-            current = await self._reader.current_at(outcome.err_value.current)
+            current = await self._reader.read_at_head(outcome.err_value.current)
         return Err(PlatformUnavailable("others kept changing the configuration; apply again"))
 
-    async def _conflict(
-        self, change: _Change, current: Current
+    async def _find_conflict(
+        self, change: _RequestedChange, current: CurrentHead
     ) -> Result[None, ApplyConflict | PlatformUnavailable]:
         if current.version == change.base_version:
             return Ok(None)
         if current.version < change.base_version:
             problem = f"the platform is at version {current.version}, before"
             return Err(PlatformUnavailable(f"{problem} base version {change.base_version}"))
-        walked = await self._reader.newer_than(current, change.base_version - 1)
-        if isinstance(walked, Err):
-            return walked
-        older_objects: list[Mapping[str, str]] = [one["objects"] for one in walked.ok_value[1:]]
+        newer_manifests = await self._reader.read_manifests_after(current, change.base_version - 1)
+        if isinstance(newer_manifests, Err):
+            return newer_manifests
+        older_objects: list[Mapping[str, str]] = [
+            manifest["objects"] for manifest in newer_manifests.ok_value[1:]
+        ]
         if change.base_version == 0:
             older_objects.append({})
-        for manifest, older in zip(walked.ok_value, older_objects, strict=False):
-            both = change.touches(changed_keys(older, manifest["objects"]))
-            if both:
-                return Err(ApplyConflict(info_of(manifest), sorted(both)))
+        for manifest, older in zip(newer_manifests.ok_value, older_objects, strict=False):
+            conflicting_keys = change.overlapping_keys(changed_keys(older, manifest["objects"]))
+            if conflicting_keys:
+                return Err(ApplyConflict(change_info(manifest), sorted(conflicting_keys)))
         return Ok(None)
 
-    async def _attempt(
-        self, change: _Change, current: Current, contents: dict[str, Any]
+    async def _try_commit(
+        self, change: _RequestedChange, current: CurrentHead, contents: dict[str, Any]
     ) -> Result[Snapshot, Conflict | OutcomeUnknown | PlatformUnavailable]:
-        manifest = change.on(current)
+        manifest = change.build_manifest(current)
         check_manifest(manifest)
         # Everything that may fail is done before the head is updated: a change that was accepted
         # must not be reported as a failure because some other object could not be read.
-        snapshot = await self._reader.snapshot(manifest, {**self._contents, **contents})
+        snapshot = await self._reader.read_snapshot(manifest, {**self._contents, **contents})
         if isinstance(snapshot, Err):
             return snapshot
         self._check(snapshot.ok_value)
@@ -297,25 +301,25 @@
         head = Head(
             version=manifest["version"], manifest=manifest_name, change_id=manifest["change_id"]
         )
-        return (await self._accept(head, current)).map(lambda _: snapshot.ok_value)
+        return (await self._update_head(head, current)).map(lambda _: snapshot.ok_value)
 
     async def _put_immutable(
         self, kind: str, name: str, value: Any
     ) -> Result[None, PlatformUnavailable]:
         """Create an object named by its content; writing it again after a lost answer is safe."""
-        give_up_s = trio.current_time() + self._settle_s
+        give_up_at_s = trio.current_time() + self._settle_s
         while True:
             outcome = await self._platform.put(kind=kind, name=name, value=value, if_version=ABSENT)
             if isinstance(outcome, Ok) or isinstance(outcome.err_value, Conflict):
                 return Ok(None)
             if isinstance(outcome.err_value, PlatformUnavailable):
                 return Err(outcome.err_value)
-            if trio.current_time() > give_up_s:
+            if trio.current_time() > give_up_at_s:
                 return Err(PlatformUnavailable(f"no answer for {kind}/{name}; nothing accepted"))
-            await trio.sleep(_SETTLE_PAUSE_S)
+            await trio.sleep(_RETRY_DELAY_S)
 
-    async def _accept(
-        self, head: Head, current: Current
+    async def _update_head(
+        self, head: Head, current: CurrentHead
     ) -> Result[None, Conflict | OutcomeUnknown | PlatformUnavailable]:
         """Update the head, and settle a lost answer by reading back.
 
@@ -323,27 +327,30 @@
         under the same condition: of the two at most one takes effect, and both say the same. Once
         the head has moved neither can land any more, and the manifests tell whether one did.
         """
-        give_up_s = trio.current_time() + self._settle_s
-        sent = False
+        give_up_at_s = trio.current_time() + self._settle_s
+        may_have_been_sent = False
         while True:
             outcome = await self._platform.put(
                 kind=HEAD_KIND, name=HEAD_NAME, value=head, if_version=current.head_version
             )
             if isinstance(outcome, Ok):
                 return Ok(None)
-            if isinstance(outcome.err_value, PlatformUnavailable) and not sent:
+            if isinstance(outcome.err_value, PlatformUnavailable) and not may_have_been_sent:
                 return Err(outcome.err_value)
-            sent = True
-            settled = await self._settle(head, current, outcome.err_value)
-            if settled is not None:
-                return settled
-            if trio.current_time() > give_up_s:
+            may_have_been_sent = True
+            resolved = await self._resolve_outcome(head, current, outcome.err_value)
+            if resolved is not None:
+                return resolved
+            if trio.current_time() > give_up_at_s:
                 problem = "apply's answer was lost and the platform can't be read"
                 return Err(OutcomeUnknown(f"{problem}; look for change {head['change_id']}"))
-            await trio.sleep(_SETTLE_PAUSE_S)
+            await trio.sleep(_RETRY_DELAY_S)
 
-    async def _settle(
-        self, head: Head, current: Current, error: Conflict | OutcomeUnknown | PlatformUnavailable
+    async def _resolve_outcome(
+        self,
+        head: Head,
+        current: CurrentHead,
+        error: Conflict | OutcomeUnknown | PlatformUnavailable,
     ) -> Result[None, Conflict] | None:
         """Whether the head's update took effect, or for certain did not; None: not known yet."""
         if isinstance(error, Conflict):
@@ -355,12 +362,12 @@
         found_version = read.ok_value.version if read.ok_value else ABSENT
         if found_version <= current.head_version and not isinstance(error, Conflict):
             return None
-        found = await self._reader.current_at(read.ok_value)
+        found = await self._reader.read_at_head(read.ok_value)
         if isinstance(found, Err):
             return None
-        walked = await self._reader.newer_than(found.ok_value, current.version)
-        if isinstance(walked, Err):
+        newer_manifests = await self._reader.read_manifests_after(found.ok_value, current.version)
+        if isinstance(newer_manifests, Err):
             return None
-        if any(one["change_id"] == head["change_id"] for one in walked.ok_value):
+        if any(manifest["change_id"] == head["change_id"] for manifest in newer_manifests.ok_value):
             return Ok(None)
         return Err(Conflict(read.ok_value))
--- a/src/wagtailpoint/config/templates.py
+++ b/src/wagtailpoint/config/templates.py
@@ -83,15 +83,17 @@
     }
     body = reader.mapping("workspace")
     reader.finish()
-    for place, reference in _references(body, reader.path_of("workspace")):
+    for path_of_value, reference in _find_references(body, reader.path_of("workspace")):
         if reference not in parameters:
             expected = one_of(parameters) + did_you_mean(reference, parameters)
             given = show("${" + reference + "}")
-            mistakes.append(Mistake(place, given, f"a parameter of this template, {expected}"))
+            mistakes.append(
+                Mistake(path_of_value, given, f"a parameter of this template, {expected}")
+            )
     return Template(name, parameters, body)
 
 
-def fill_in(
+def expand_template(
     template: Template, given: Mapping[str, Any], *, path: str, mistakes: list[Mistake]
 ) -> dict[str, Any]:
     """Fill in a template's parameters.
@@ -153,17 +155,17 @@
     return is_number(value)
 
 
-def _references(value: Any, path: str) -> Iterator[tuple[str, str]]:
+def _find_references(value: Any, path: str) -> Iterator[tuple[str, str]]:
     """Every reference to a parameter, with its place."""
     if isinstance(value, str):
         for reference in _REFERENCE.findall(value):
             yield path, reference
     elif isinstance(value, dict):
         for key, item in value.items():
-            yield from _references(item, f"{path}.{key}")
+            yield from _find_references(item, f"{path}.{key}")
     elif isinstance(value, list):
         for index, item in enumerate(value):
-            yield from _references(item, f"{path}[{index}]")
+            yield from _find_references(item, f"{path}[{index}]")
 
 
 def _substitute(value: Any, values: Mapping[str, Any]) -> Any:
--- a/src/wagtailpoint/config/watcher.py
+++ b/src/wagtailpoint/config/watcher.py
@@ -21,9 +21,9 @@
 """The longest wait of a watch. One that is never answered hides changes for so long, and a change
 has to be in force everywhere within 11 s."""
 
-POLL_S = 30.0
-LEAST_BACKOFF_S = 0.2
-MOST_BACKOFF_S = 10.0
+POLL_INTERVAL_S = 30.0
+MIN_BACKOFF_S = 0.2
+MAX_BACKOFF_S = 10.0
 
 
 class ConfigWatcher:
@@ -47,7 +47,7 @@
         on_snapshot: Callable[[Snapshot], None],
         watching: bool = True,
         wait_s: float = WATCH_WAIT_S,
-        poll_s: float = POLL_S,
+        poll_s: float = POLL_INTERVAL_S,
         rng: random.Random | None = None,
     ) -> None:
         self._store = store
@@ -57,10 +57,10 @@
         self._wait_s = wait_s
         self._poll_s = poll_s
         self._rng = rng or random.Random()
-        self._newest: Snapshot | None = None
-        self._watch_from: int | None = None
-        self._backoff_s = LEAST_BACKOFF_S
-        self._round = trio.CancelScope()
+        self._latest: Snapshot | None = None
+        self._watch_version: int | None = None
+        self._backoff_s = MIN_BACKOFF_S
+        self._iteration_scope = trio.CancelScope()
 
     @property
     def watching(self) -> bool:
@@ -71,8 +71,8 @@
     def watching(self, watching: bool) -> None:
         if watching != self._watching:
             self._watching = watching
-            self._watch_from = None
-            self._round.cancel()
+            self._watch_version = None
+            self._iteration_scope.cancel()
 
     def learn(self, snapshot: Snapshot) -> bool:
         """Take over a snapshot that a peer had, and deliver it if it is newer than all before.
@@ -80,67 +80,67 @@
         Returns:
             Whether it was newer.
         """
-        if self._newest is not None and snapshot.change.version <= self._newest.change.version:
+        if self._latest is not None and snapshot.change.version <= self._latest.change.version:
             return False
-        self._newest = snapshot
+        self._latest = snapshot
         self._on_snapshot(snapshot)
         return True
 
     async def run(self) -> None:
         """Follow the configuration until cancelled."""
         while True:
-            with trio.CancelScope() as self._round:
+            with trio.CancelScope() as self._iteration_scope:
                 failure = await (self._watch_once() if self._watching else self._poll_once())
                 if failure is not None:
                     await self._back_off(failure)
 
     async def _poll_once(self) -> Exception | None:
-        if self._newest is not None:
+        if self._latest is not None:
             await trio.sleep(self._poll_s * self._rng.uniform(0.5, 1.5))
-        outcome = await self._store.read_since(self._newest)
+        outcome = await self._store.read_since(self._latest)
         if isinstance(outcome, Err):
             return outcome.err_value
         if outcome.ok_value is None:
             return PlatformUnavailable("there is no configuration yet")
-        self._backoff_s = LEAST_BACKOFF_S
+        self._backoff_s = MIN_BACKOFF_S
         self.learn(outcome.ok_value)
         return None
 
     async def _watch_once(self) -> Exception | None:
-        if self._watch_from is None:
+        if self._watch_version is None:
             return await self._list()
-        asked_s = trio.current_time()
+        started_s = trio.current_time()
         outcome = await self._platform.watch(
-            kinds=[HEAD_KIND], from_version=self._watch_from, wait_s=self._wait_s
+            kinds=[HEAD_KIND], from_version=self._watch_version, wait_s=self._wait_s
         )
         if isinstance(outcome, Err):
             # Whatever the failure, the next round lists: the platform that answers then need not
             # be the one that this watch's version came from.
-            self._watch_from = None
+            self._watch_version = None
             return outcome.err_value
         batch = outcome.ok_value
-        heads = [one.stored for one in batch.events if one.action == "put"]
-        waited_s = trio.current_time() - asked_s
-        if not heads and waited_s < min(self._wait_s, LEAST_BACKOFF_S):
+        head_objects = [event.stored for event in batch.events if event.action == "put"]
+        elapsed_s = trio.current_time() - started_s
+        if not head_objects and elapsed_s < min(self._wait_s, MIN_BACKOFF_S):
             return PlatformUnavailable("a watch came back early with nothing")
-        self._backoff_s = LEAST_BACKOFF_S
+        self._backoff_s = MIN_BACKOFF_S
         # A watch answered by a lagging replica may name an older version than the one asked from.
-        self._watch_from = max(self._watch_from, batch.version)
-        return await self._follow(heads[-1]) if heads else None
+        self._watch_version = max(self._watch_version, batch.version)
+        return await self._follow(head_objects[-1]) if head_objects else None
 
     async def _list(self) -> PlatformUnavailable | None:
         outcome = await self._platform.list(kind=HEAD_KIND)
         if isinstance(outcome, Err):
             return outcome.err_value
-        self._watch_from = outcome.ok_value.version
-        heads = [one for one in outcome.ok_value.objects if one.name == HEAD_NAME]
-        return await self._follow(heads[0]) if heads else None
+        self._watch_version = outcome.ok_value.version
+        head_objects = [stored for stored in outcome.ok_value.objects if stored.name == HEAD_NAME]
+        return await self._follow(head_objects[0]) if head_objects else None
 
     async def _follow(self, head: StoredObject) -> PlatformUnavailable | None:
-        outcome = await self._store.follow(head, self._newest)
+        outcome = await self._store.follow(head, self._latest)
         if isinstance(outcome, Err):
             # The event is used up, so watching on from here would miss this change.
-            self._watch_from = None
+            self._watch_version = None
             return outcome.err_value
         if outcome.ok_value is not None:
             self.learn(outcome.ok_value)
@@ -150,7 +150,7 @@
         pause_s = self._backoff_s * self._rng.uniform(0.5, 1.5)
         if isinstance(failure, PlatformUnavailable) and failure.retry_after_s is not None:
             pause_s += failure.retry_after_s
-        self._backoff_s = min(self._backoff_s * 2, MOST_BACKOFF_S)
+        self._backoff_s = min(self._backoff_s * 2, MAX_BACKOFF_S)
         log_event(
             "config-watch-failed", level="WARNING", pause_s=f"{pause_s:.2f}", reason=repr(failure)
         )
