--- a/src/wagtailpoint/config/__init__.py
+++ b/src/wagtailpoint/config/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration: objects, checks, templates, the compiled form, its store and its watch."""
+"""The configuration: objects, validation, templates, compilation, storage and watching."""
--- a/src/wagtailpoint/config/blocks.py
+++ b/src/wagtailpoint/config/blocks.py
@@ -1,7 +1,7 @@
-"""The client blocks of a configuration, of which there may be hundreds of thousands.
+"""The client blocks of a configuration, which may number hundreds of thousands.
 
-They change rarely and are most of the configuration. So a reader remembers the objects that it
-read before, and keeps the networks packed.
+They make up most of the configuration and change rarely, so ``BlockReader`` reuses the objects that
+it has already checked and keeps their networks packed.
 """
 
 import socket
@@ -21,14 +21,14 @@
 
 
 class RegionBlocks(NamedTuple):
-    """One ``blocks`` object."""
+    """The region and the networks of one ``blocks`` object."""
 
     region: str
     networks: Sequence[str]
 
 
 class BlockList(Sequence[ClientBlock]):
-    """All client blocks in order; a ``ClientBlock`` is made only while it is looked at."""
+    """All client blocks in order; each ``ClientBlock`` is created when it is accessed."""
 
     def __init__(self, *, parts: Sequence[RegionBlocks]) -> None:
         self._parts = tuple(parts)
@@ -44,11 +44,11 @@
 
     @property
     def parts(self) -> Sequence[RegionBlocks]:
-        """The objects that the blocks stand in."""
+        """The ``blocks`` objects that make up the list."""
         return self._parts
 
     def without(self, other: "BlockList") -> "BlockList":
-        """Return the parts that are not, as the very same objects, parts of another list."""
+        """Return the parts that the other list lacks; parts are compared by identity."""
         other_parts = {id(part) for part in other._parts}
         return BlockList(parts=[part for part in self._parts if id(part) not in other_parts])
 
@@ -76,10 +76,11 @@
 
 
 class BlockReader:
-    """Reads all ``blocks`` objects, and checks only those that are new.
+    """Reads all ``blocks`` objects and checks only those that changed since the last read.
 
-    An object whose JSON value is the very same as the last time is not read again: values are
-    never changed in place, and the store hands out the same one while its content is the same.
+    An object is skipped if its JSON value is identical (``is``) to the last one. This is safe
+    because values are never modified in place, and the store returns the same value while the
+    content is unchanged.
     """
 
     def __init__(self) -> None:
@@ -90,15 +91,15 @@
 
     @property
     def parts(self) -> Mapping[str, RegionBlocks]:
-        """The objects read last, by name."""
+        """The objects of the last read, by name."""
         return self._parts
 
     def read(self, values: Mapping[str, Any], mistakes: list[Mistake]) -> BlockList:
         """Read the JSON values of all objects, by name.
 
         Returns:
-            The blocks: the very same list as the last time if nothing changed. Of use only if no
-            mistake was recorded.
+            The blocks; the identical list as in the last read if nothing changed. Valid only if
+            no mistake was recorded.
         """
         if self._is_unchanged(values):
             return self._blocks
@@ -131,7 +132,9 @@
         networks = reader.texts("networks", expected="networks")
         for index, network in enumerate(networks):
             if not is_network(network):
-                expected = 'a network ADDRESS/LENGTH such as "10.1.0.0/16", no bits set after it'
+                expected = (
+                    'a network ADDRESS/LENGTH such as "10.1.0.0/16", no bits set after LENGTH'
+                )
                 reader.mistake(f"networks[{index}]", network, expected)
         reader.finish()
         packed = value.get("networks") if isinstance(value, dict) else None
@@ -145,7 +148,7 @@
 
 
 def is_network(text: str) -> bool:
-    """Whether a string is ``ADDRESS/LENGTH`` without bits beyond the length."""
+    """Return whether a string is ``ADDRESS/LENGTH`` with no bits set beyond the length."""
     address, _, length = text.partition("/")
     if not (length.isascii() and length.isdecimal()) or len(length) > _MAX_PREFIX_LENGTH_DIGITS:
         return False
@@ -162,7 +165,7 @@
 
 
 def _are_distinct(hashes: Iterable["array[int]"]) -> bool:
-    """Whether no two strings can be the same; without a set of all of them, which takes 50 MB."""
+    """Return whether all hashes differ; sorting avoids a set of all strings, which takes 50 MB."""
     sorted_hashes = sorted(chain.from_iterable(hashes))
     return not any(previous == following for previous, following in pairwise(sorted_hashes))
 
@@ -175,14 +178,14 @@
         if len(seen) == count_before + len(part.networks):
             continue
         for network in _find_duplicates(name, part, parts):
-            expected = "a network of its own; it stands once before"
+            expected = "a network of its own; it is already listed in a blocks object"
             mistakes.append(Mistake(f"{_object_path(name)}networks", show(network), expected))
 
 
 def _find_duplicates(
     name: str, part: RegionBlocks, parts: Mapping[str, RegionBlocks]
 ) -> Iterator[str]:
-    """The networks of one object that stand before, in it or in an earlier one."""
+    """Yield the networks of an object that occur earlier, in it or in a preceding object."""
     earlier_networks: set[str] = set()
     for other, other_part in parts.items():
         if other == name:
--- a/src/wagtailpoint/config/compile.py
+++ b/src/wagtailpoint/config/compile.py
@@ -1,7 +1,7 @@
-"""From the objects that operators write to the configuration that instances enforce.
+"""Compiles the objects that operators write into the configuration that instances enforce.
 
-The function is pure: every instance and the command-line tool come to the same result from the
-same objects, so what the tool accepts no instance refuses.
+The function is pure: every instance and the command-line tool get the same result for the same
+objects, so no instance rejects what the tool has accepted.
 """
 
 from collections.abc import Callable, Mapping
@@ -37,7 +37,7 @@
 
 
 class _ParsedObjects(NamedTuple):
-    """Every object read by itself; what they say of each other is not yet checked."""
+    """The objects, each checked on its own; references between them are not checked yet."""
 
     regions: dict[str, Region]
     services: dict[str, Service]
@@ -50,7 +50,7 @@
 
     @property
     def failure_domains(self) -> list[str]:
-        """All failure domains of all regions."""
+        """The failure domains of all regions."""
         return [domain for region in self.regions.values() for domain in region.failure_domains]
 
 
@@ -60,14 +60,14 @@
     """Compile the effective configuration.
 
     Args:
-        version: The version that the objects make up.
+        version: The version of the configuration that the objects belong to.
         objects: The JSON value of each object, by ``kind/name``.
-        block_reader: One that is kept from one configuration to the next saves reading the client
-            blocks again that did not change; the result is the same.
+        block_reader: A reader reused between configurations, which skips unchanged client blocks;
+            it doesn't affect the result.
 
     Returns:
-        The configuration, or every mistake found, each with the object, the field, what was given
-        and what is expected.
+        The configuration, or every mistake found, each with the object, the field, the value given
+        and the value expected.
     """
     mistakes: list[Mistake] = []
     parsed = _parse_objects(objects, block_reader or BlockReader(), mistakes)
@@ -131,7 +131,7 @@
             field_path = f"{path}failure_domains[{index}]"
             check_name(path=field_path, given=domain, mistakes=mistakes)
             if domain in owners:
-                expected = f"a name of its own; region/{owners[domain]} has it too"
+                expected = f"a unique name; region/{owners[domain]} uses it too"
                 mistakes.append(Mistake(field_path, show(domain), expected))
             owners[domain] = region.name
         others = set(parsed.regions) - {region.name}
@@ -162,8 +162,10 @@
                     mistakes=mistakes,
                 )
                 if server.address in owners:
-                    # Its slots would be given out twice, by two groups that don't know of it.
-                    expected = f"a backend server of its own; {owners[server.address]} has it too"
+                    # Each of the two groups would allocate all slots of the backend server.
+                    expected = (
+                        f"an address and port of its own; {owners[server.address]} has it too"
+                    )
                     mistakes.append(Mistake(field_path, str(server.address), expected))
                 elif server.address.address and server.address.port:
                     owners[server.address] = field_path
@@ -192,7 +194,7 @@
             workspace = read_workspace(source.name, template.name, reader)
             _check_workspace(workspace, parsed, found_mistakes)
             workspaces[source.name] = workspace
-            # The operator looks for the field in the workspace object, but it stands elsewhere.
+            # The path names the workspace, but the field is in the template.
             origin = f" (written in template/{template.name})"
             found_mistakes = [
                 item._replace(expected=item.expected + origin) for item in found_mistakes
@@ -246,9 +248,7 @@
         subject = (move.workspace, move.service)
         if all(subject) and first_moves.setdefault(subject, move.name) != move.name:
             given = show(f"{move.workspace}, {move.service}")
-            expected = (
-                f"one move of a workspace and service; move/{first_moves[subject]} moves them"
-            )
+            expected = f"one move per workspace and service; move/{first_moves[subject]} has both"
             mistakes.append(Mistake(f"{path}workspace", given, expected))
         check_reference(
             path=f"{path}workspace",
@@ -288,7 +288,8 @@
         expected += f", {one_of(workspace.groups)}"
         mistakes.append(Mistake(f"{path}service", show(service.name), expected))
     elif current not in (move.from_group, move.to_group):
-        # A workspace already at to_group is right: that is how a finished move is settled.
+        # The workspace may already name to_group: a move is completed by writing to_group into the
+        # workspace and then deleting the move.
         expected = f"{show(current)}, the group that serves workspace/{workspace.name} now"
         mistakes.append(Mistake(f"{path}from_group", show(move.from_group), expected))
 
--- a/src/wagtailpoint/config/files.py
+++ b/src/wagtailpoint/config/files.py
@@ -1,4 +1,4 @@
-"""Files of configuration objects: JSON objects whose fields are ``kind/name``."""
+"""Reads files of configuration objects: JSON objects whose fields are ``kind/name``."""
 
 from collections.abc import Sequence
 from pathlib import Path
@@ -11,11 +11,11 @@
 
 
 def read_objects(paths: Sequence[Path]) -> Result[dict[str, Any], InvalidInput]:
-    """Read the objects of some files; a directory stands for all ``*.json`` files in it.
+    """Read the objects of files and directories; of a directory, all its ``*.json`` files.
 
     Returns:
         The value of each object by ``kind/name``, unchecked, or every mistake found. An object
-        that stands in two files is a mistake, for either could be the one that is meant.
+        that is in two files is a mistake, as either of them could be the intended one.
     """
     mistakes: list[Mistake] = []
     objects: dict[str, Any] = {}
@@ -24,7 +24,11 @@
         for key, value in _read_file(path, mistakes).items():
             if key in objects:
                 mistakes.append(
-                    Mistake(f"{path}: {key}", "again", f"once; {source_files[key]} has it")
+                    Mistake(
+                        f"{path}: {key}",
+                        "a second definition",
+                        f"one definition; {source_files[key]} has another",
+                    )
                 )
             objects[key] = value
             source_files[key] = path
@@ -36,7 +40,7 @@
     for path in paths:
         directory_files = sorted(path.glob("*.json")) if path.is_dir() else [path]
         if not directory_files:
-            mistakes.append(Mistake(str(path), "a directory without any", "*.json files"))
+            mistakes.append(Mistake(str(path), "a directory without *.json files", "a *.json file"))
         files.extend(directory_files)
     return files
 
--- a/src/wagtailpoint/config/manifest.py
+++ b/src/wagtailpoint/config/manifest.py
@@ -1,4 +1,4 @@
-"""The immutable objects of a change: contents named by their hash, and the manifest over them."""
+"""The stored objects of a change: contents named by their hash, the manifest and the head."""
 
 import hashlib
 from collections.abc import Mapping
@@ -15,7 +15,7 @@
 HEAD_NAME = "current"
 
 MAX_OBJECT_BYTES = 900_000
-"""The platform takes values up to a megabyte; the rest is left for its own envelope."""
+"""The platform accepts values up to a megabyte; the rest is reserved for its envelope."""
 
 _NO_HASHES: Mapping[str, str] = MappingProxyType({})
 
@@ -24,11 +24,11 @@
     """One accepted change.
 
     Attributes:
-        version: Its place in the one order of changes; the first is 1.
-        change_id: Random; by it a change whose answer was lost is recognised.
-        author: Who made it.
-        time_s: When, by the author's wall clock, in seconds since the epoch; for people only.
-        message: Why.
+        version: The position in the total order of changes; the first is 1.
+        change_id: A random id that identifies a change whose answer was lost.
+        author: The name of the person who made the change.
+        time_s: The author's wall clock in seconds since the epoch; only displayed.
+        message: The reason for the change.
     """
 
     version: int
@@ -42,10 +42,10 @@
     """The whole configuration as of one change.
 
     Attributes:
-        change: The change that made it.
+        change: The newest change that it includes.
         objects: The value of each object, by ``kind/name``.
-        content_hashes: The hash of each object's content, by ``kind/name``, so that the next
-            read only fetches what changed.
+        content_hashes: The hash of each object's content, by ``kind/name``; the next read fetches
+            only contents with other hashes.
     """
 
     change: ChangeInfo
@@ -54,7 +54,7 @@
 
 
 class Head(TypedDict):
-    """The value of ``config-head/current``, whose conditional update accepts a change."""
+    """The value of ``config-head/current``; updating it conditionally commits a change."""
 
     version: int
     manifest: str
@@ -62,10 +62,10 @@
 
 
 class Manifest(TypedDict):
-    """One change as it is stored.
+    """The stored form of one change.
 
     Attributes:
-        parent: The name of the manifest before it; None for the first.
+        parent: The name of the previous manifest; None for the first.
         objects: The hash of each object's content, by ``kind/name``.
     """
 
@@ -79,7 +79,7 @@
 
 
 def change_info(manifest: Manifest) -> ChangeInfo:
-    """The change that a manifest stores."""
+    """Return the change that a manifest describes."""
     return ChangeInfo(
         version=manifest["version"],
         change_id=manifest["change_id"],
@@ -90,28 +90,31 @@
 
 
 def hash_of(value: Any) -> str:
-    """The SHA-256 of a value's canonical JSON (sorted keys, no blanks), in hexadecimal."""
+    """Return the SHA-256 of a value's canonical JSON (sorted keys, no spaces) in hexadecimal."""
     return hashlib.sha256(msgspec.json.encode(value, order="sorted")).hexdigest()
 
 
 def changed_keys(older: Mapping[str, str], newer: Mapping[str, str]) -> frozenset[str]:
-    """The objects that differ between two manifests: put, changed or deleted."""
+    """Return the keys of objects that were added, changed or deleted between two manifests."""
     return frozenset(key for key in older.keys() | newer.keys() if older.get(key) != newer.get(key))
 
 
 def check_objects(puts: Mapping[str, Any], deletes: Mapping[str, Any] | frozenset[str]) -> None:
-    """Check the objects of a change before the platform is asked.
+    """Check the objects of a change; makes no call to the platform.
 
     Raises:
-        InvalidInput: A key is not ``kind/name``, is both put and deleted, or a value is too large.
+        InvalidInput: A key is not ``kind/name`` or is both put and deleted, or a value is larger
+            than ``MAX_OBJECT_BYTES``.
     """
     mistakes = [
-        Mistake(repr(key), "this key", "kind/name, for example 'workspace/surakkha'")
+        Mistake(repr(key), "a key in another form", "kind/name, such as 'workspace/surakkha'")
         for key in [*puts, *deletes]
         if not all(key.partition("/"))
     ]
     mistakes += [
-        Mistake(key, "both a put and a delete", "one of the two") for key in puts if key in deletes
+        Mistake(key, "both a put and a delete", "either a put or a delete")
+        for key in puts
+        if key in deletes
     ]
     mistakes += [
         mistake for key, value in puts.items() for mistake in _find_size_mistakes(key, value)
@@ -124,12 +127,12 @@
     """Check that a manifest fits into one object of the platform.
 
     Raises:
-        InvalidInput: It is too large.
+        InvalidInput: The manifest is larger than ``MAX_OBJECT_BYTES``.
     """
     size = len(msgspec.json.encode(manifest))
     if size > MAX_OBJECT_BYTES:
         given = f"{len(manifest['objects'])} objects, a manifest of {size} bytes"
-        expected = f"at most {MAX_OBJECT_BYTES} bytes; put several values into one object"
+        expected = f"at most {MAX_OBJECT_BYTES} bytes; merge several objects into one"
         raise InvalidInput([Mistake("configuration", given, expected)])
 
 
--- a/src/wagtailpoint/config/model.py
+++ b/src/wagtailpoint/config/model.py
@@ -1,7 +1,7 @@
-"""The effective configuration: what every instance enforces, compiled from the objects.
+"""The effective configuration, which is compiled from the objects and enforced by every instance.
 
-All of it is immutable. An instance swaps its whole configuration in one assignment, so no request
-sees half of an old and half of a new one.
+It is immutable. An instance replaces its whole configuration in one assignment, so no request sees
+parts of two versions.
 """
 
 from collections.abc import Mapping, Sequence
@@ -17,14 +17,14 @@
         name: For example ``kolkata``.
         failure_domains: The names of its failure domains.
         latency_ms: One-way latency to each other region, in milliseconds.
-        capacity_rps: The most requests a second that the system may decide to send into this
-            region; None if not limited. Checked and kept, but not enforced yet.
-        failure_domain_latency_ms: One-way latency between its failure domains, in milliseconds; no
-            decision uses it yet.
-        client_latency_ms: One-way latency from its clients to its instances, in milliseconds; no
-            decision uses it yet.
-        seats_per_failure_domain: How many instances may run in each of its failure domains; every
-            limit is split evenly over all of all regions.
+        capacity_rps: Maximum requests per second that the system may send into this region; None
+            if unlimited. Checked and stored, but not enforced.
+        failure_domain_latency_ms: One-way latency between its failure domains, in milliseconds; not
+            used by any decision.
+        client_latency_ms: One-way latency from its clients to its instances, in milliseconds; not
+            used by any decision.
+        seats_per_failure_domain: Number of instances that may run in each of its failure domains;
+            every limit is split evenly over the seats of all regions.
     """
 
     name: str
@@ -40,9 +40,9 @@
     """A backend server of one group of a service.
 
     Attributes:
-        address: Where it listens.
-        failure_domain: Where it runs.
-        slots: Requests that it serves at the same time.
+        address: The address and port on which it listens.
+        failure_domain: The failure domain in which it runs.
+        slots: Number of requests that it serves concurrently.
     """
 
     address: BackendAddress
@@ -51,13 +51,13 @@
 
 
 class ClassPolicy(NamedTuple):
-    """How one class of requests shares a service with the others.
+    """The priority and the slot ceiling of one request class of a service.
 
     Attributes:
         name: For example ``tonight``.
         priority: 0 is the most urgent.
-        ceiling: The part of all slots (0 to 1) that this class and all lower ones together may
-            hold; what is left stays free for an arriving burst of more urgent requests.
+        ceiling: The fraction of all slots (0 to 1) that this class and all less urgent classes
+            together may hold; the rest stays free for bursts of more urgent requests.
     """
 
     name: str
@@ -71,11 +71,11 @@
     Attributes:
         name: For example ``deposit-desk``.
         groups: Named sets of backend servers; a workspace uses one group of each service.
-        classes: By name.
-        retry_ratio: Retries allowed as a part of fresh requests (0 to 1).
-        report_path: Where a backend server answers with its health and load.
-        echoes_request_id: Its backend servers repeat ``Wagtailpoint-Request-Id``; a response
-            without it is then dropped.
+        classes: The request classes, by name.
+        retry_ratio: Retries allowed, as a fraction of first attempts (0 to 1).
+        report_path: The path at which a backend server reports its health and load.
+        echoes_request_id: Whether its backend servers echo ``Wagtailpoint-Request-Id``; if so, a
+            response without it is dropped.
     """
 
     name: str
@@ -87,17 +87,17 @@
 
 
 class Route(NamedTuple):
-    """Which service a request goes to, and under which rules.
+    """The requests that go to a service, and the rules for them.
 
     Attributes:
         method: An HTTP method, or None for any.
-        prefix: The path must start with it; the longest match wins, then the one with a method.
-        service: The service.
-        request_class: The class, one of the service's.
-        idempotent: The request may be repeated.
-        timeout_s: The longest that the caller is kept waiting for the response's headers, in
-            seconds.
-        bulk: A long download: ``timeout_s`` bounds its headers, not its whole body.
+        prefix: The prefix of matching paths; the longest match wins, then the route with a method.
+        service: The name of the service.
+        request_class: The name of one of the service's classes.
+        idempotent: Whether the request may be retried after it may have run.
+        timeout_s: Maximum time that the caller waits for the response headers, in seconds.
+        bulk: Whether this is a long download, for which ``timeout_s`` bounds the headers but not
+            the whole body.
     """
 
     method: str | None
@@ -110,14 +110,14 @@
 
 
 class Workspace(NamedTuple):
-    """A workspace, after its template's parameters were filled in.
+    """A workspace after the substitution of its template's parameters.
 
     Attributes:
         name: For example ``surakkha``.
-        template: The template that it was made from.
+        template: The name of its template.
         routes: Its routes.
-        groups: The group of each service that serves it, before any move.
-        max_rps: The most requests a second that it may send in all; None if not limited.
+        groups: The group that serves it, by service, before any move.
+        max_rps: Maximum requests per second that it may send in total; None if unlimited.
     """
 
     name: str
@@ -134,13 +134,12 @@
         name: Its name.
         workspace: The workspace that is moved.
         service: The service whose backend servers change.
-        from_group: The group that serves it now.
-        to_group: The group that shall serve it.
-        cap_rps: The most requests a second that the move may send to ``to_group``, at any moment.
-        steps: The parts of the traffic (0 to 1, rising) that go to ``to_group``, one after the
-            other.
-        hold_s: How long a step is watched before the next, in seconds.
-        state: What the operator wants: ``abort`` sends all traffic back at once.
+        from_group: The group that serves the workspace before the move.
+        to_group: The group that serves the workspace after the move.
+        cap_rps: Maximum requests per second that the move may send to ``to_group`` at any time.
+        steps: The increasing fractions of the traffic (0 to 1) that go to ``to_group``, in order.
+        hold_s: How long a step is observed before the next, in seconds.
+        state: The state requested by the operator; ``abort`` sends all traffic back at once.
     """
 
     name: str
@@ -155,12 +154,12 @@
 
 
 class Drain(NamedTuple):
-    """A backend server or a failure domain that gets no new work.
+    """A backend server or a failure domain that receives no new requests.
 
     Attributes:
         name: Its name.
         backend_server: The backend server, or None.
-        failure_domain: The failure domain, or None; exactly one of the two is given.
+        failure_domain: The failure domain, or None; exactly one of the two is set.
     """
 
     name: str
@@ -169,7 +168,7 @@
 
 
 class ClientBlock(NamedTuple):
-    """A block of client addresses and the region that is nearest to it."""
+    """A block of client addresses and the region nearest to it."""
 
     network: str
     region: str
@@ -179,13 +178,13 @@
     """Everything that an instance enforces.
 
     Attributes:
-        version: The place of the newest change in the one order of changes; starts at 1.
-        regions: By name.
-        services: By name.
-        workspaces: By name.
-        moves: By name.
-        drains: By name.
-        client_blocks: Which region is nearest to which clients.
+        version: The position of the newest change in the total order of changes; starts at 1.
+        regions: The regions, by name.
+        services: The services, by name.
+        workspaces: The workspaces, by name.
+        moves: The moves, by name.
+        drains: The drains, by name.
+        client_blocks: The nearest region of each block of client addresses.
     """
 
     version: int
--- a/src/wagtailpoint/config/objects.py
+++ b/src/wagtailpoint/config/objects.py
@@ -1,6 +1,6 @@
-"""The objects that operators write, each checked by itself.
+"""Reads the objects that operators write and checks each on its own.
 
-What one object says of another (a route's service, a move's groups) is checked in ``compile``.
+References between objects (a route's service, a move's groups) are checked in ``compile``.
 """
 
 from collections.abc import Mapping
@@ -23,7 +23,7 @@
 MOVE_STATES: Final = ("run", "pause", "abort")
 METHODS: Final = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
 RESERVED_PATHS: Final = ("/v1/lookup", "/v1/status", "/v1/metrics", "/v1/timeline")
-"""Paths that an instance answers itself; a route for one of them would never be reached."""
+"""Paths that an instance serves itself; a route for one of them would never match."""
 
 MAX_SLOTS: Final = 10_000
 MAX_SEATS: Final = 100
@@ -36,7 +36,7 @@
 
 
 class WorkspaceSource(NamedTuple):
-    """A workspace as operators write it: a template and its parameters."""
+    """A workspace as written by operators: a template and its parameters."""
 
     name: str
     template: str
@@ -44,7 +44,7 @@
 
 
 def read_region(name: str, reader: ObjectReader) -> Region:
-    """Read a ``region``."""
+    """Read a ``region`` object."""
     latencies = reader.child("latency_ms", default={})
     others = list(latencies.names())
     region = Region(
@@ -72,7 +72,7 @@
 
 
 def read_service(name: str, reader: ObjectReader) -> Service:
-    """Read a ``service``."""
+    """Read a ``service`` object."""
     service = Service(
         name=name,
         groups={
@@ -83,7 +83,7 @@
             key: _read_class(key, item) for key, item in reader.named_objects("classes").items()
         },
         retry_ratio=reader.number(
-            "retry_ratio", unit="part of fresh requests", minimum=0, maximum=1, default=0.1
+            "retry_ratio", unit="fraction of first attempts", minimum=0, maximum=1, default=0.1
         ),
         report_path=_read_path(reader, "report_path", default="/health"),
         echoes_request_id=reader.flag("echoes_request_id", default=True),
@@ -100,7 +100,7 @@
 
 
 def read_workspace_source(name: str, reader: ObjectReader) -> WorkspaceSource:
-    """Read a ``workspace`` as operators write it."""
+    """Read a ``workspace`` object, without expanding its template."""
     source = WorkspaceSource(
         name, reader.name("template"), reader.mapping("parameters", default={})
     )
@@ -109,7 +109,7 @@
 
 
 def read_workspace(name: str, template: str, reader: ObjectReader) -> Workspace:
-    """Read the body of a workspace, after its template's parameters were filled in."""
+    """Read the body of a workspace after the substitution of its template's parameters."""
     routes = reader.objects("routes", expected=_ROUTE_FIELDS)
     groups = reader.mapping("groups")
     for service, group in groups.items():
@@ -130,7 +130,7 @@
 
 
 def read_move(name: str, reader: ObjectReader) -> Move:
-    """Read a ``move``."""
+    """Read a ``move`` object."""
     state = reader.text("state", choices=MOVE_STATES, default="run")
     move = Move(
         name=name,
@@ -150,7 +150,7 @@
 
 
 def read_drain(name: str, reader: ObjectReader) -> Drain:
-    """Read a ``drain``."""
+    """Read a ``drain`` object."""
     server = None
     if reader.has("backend_server"):
         item = reader.child("backend_server")
@@ -171,7 +171,7 @@
         server = BackendServer(
             address=BackendAddress(item.ip_number("address"), item.port("port")),
             failure_domain=item.text("failure_domain"),
-            slots=item.integer("slots", unit="requests at once", minimum=1, maximum=MAX_SLOTS),
+            slots=item.integer("slots", unit="concurrent requests", minimum=1, maximum=MAX_SLOTS),
         )
         item.finish()
         servers.append(server)
@@ -182,19 +182,19 @@
     policy = ClassPolicy(
         name=name,
         priority=reader.integer(
-            "priority", unit="0 is the most urgent", minimum=0, maximum=MAX_PRIORITY
+            "priority", unit="0 is most urgent", minimum=0, maximum=MAX_PRIORITY
         ),
-        ceiling=reader.number("ceiling", unit="part of all slots", above=0, maximum=1),
+        ceiling=reader.number("ceiling", unit="fraction of all slots", above=0, maximum=1),
     )
     reader.finish()
     return policy
 
 
 def _check_classes(service: Service, reader: ObjectReader) -> None:
-    """Check that the order of classes is strict and that ceilings fall with it.
+    """Check that priorities are unique and that ceilings don't rise as urgency falls.
 
-    A ceiling counts the slots of its class and of all lower ones together, so a lower class with
-    a higher ceiling could never use it, and the operator would believe that it can.
+    A ceiling limits the slots of its class and of all less urgent classes together. A less urgent
+    class with a higher ceiling could never reach it, although the configuration says that it can.
     """
     ordered = sorted(service.classes.values(), key=lambda policy: policy.priority)
     for higher, lower in zip(ordered, ordered[1:], strict=False):
@@ -202,7 +202,7 @@
             expected = f"a priority of its own; {higher.name!r} has it too"
             reader.mistake(f"classes.{lower.name}.priority", lower.priority, expected)
         if lower.ceiling > higher.ceiling:
-            expected = f"at most {higher.ceiling:g}, the ceiling of {higher.name!r} above it"
+            expected = f"at most {higher.ceiling:g}, the ceiling of the more urgent {higher.name!r}"
             reader.mistake(f"classes.{lower.name}.ceiling", lower.ceiling, expected)
 
 
@@ -219,7 +219,7 @@
         bulk=reader.flag("bulk", default=False),
     )
     if route.prefix.startswith(RESERVED_PATHS):
-        expected = "a path that the instance does not answer itself, so none of: "
+        expected = "a path that instances don't serve themselves, so it may not start with: "
         reader.mistake("prefix", route.prefix, expected + ", ".join(RESERVED_PATHS))
     reader.note("method")
     reader.finish()
@@ -231,7 +231,7 @@
     for index, route in enumerate(routes):
         key = (route.method, route.prefix)
         if route.prefix and first.setdefault(key, index) != index:
-            expected = f"a method and prefix of its own; routes[{first[key]}] has the same"
+            expected = f"a unique method and prefix; routes[{first[key]}] has the same"
             reader.mistake(f"routes[{index}].prefix", route.prefix, expected)
 
 
@@ -244,7 +244,7 @@
 
 
 def _read_steps(reader: ObjectReader) -> tuple[float, ...]:
-    expected = "parts of the traffic, rising, above 0 and up to 1"
+    expected = "rising fractions of the traffic, above 0 and up to 1"
     steps = reader.numbers("steps", expected=expected)
     rising = all(low < high for low, high in zip(steps, steps[1:], strict=False))
     in_bounds = bool(steps) and steps[0] > 0 and steps[-1] <= 1
--- a/src/wagtailpoint/config/packed.py
+++ b/src/wagtailpoint/config/packed.py
@@ -1,7 +1,7 @@
-"""Long lists of strings kept as JSON: hundreds of thousands of Python strings take too much memory.
+"""Keeps long lists of strings as JSON, as hundreds of thousands of strings take too much memory.
 
-A packed value has a ``msgspec.Raw`` where the list was. It encodes to the same JSON, so hashes and
-deltas are the same, and whoever reads it unpacks it first.
+A packed value has a ``msgspec.Raw`` in place of the list. It encodes to the same JSON, so hashes
+and deltas don't change. It has to be unpacked before it is read.
 """
 
 from collections.abc import Iterator, Sequence
@@ -14,11 +14,11 @@
 
 
 class PackedTexts(Sequence[str]):
-    """Strings that exist only while they are looked at.
+    """A sequence of strings that is decoded from JSON on each access.
 
     Args:
         texts: The strings.
-        raw: What ``pack`` made of them, if that is kept anyway.
+        raw: Their packed form, if ``pack`` has already created it; saves a second copy.
     """
 
     def __init__(self, texts: Sequence[str], *, raw: msgspec.Raw | None = None) -> None:
@@ -47,14 +47,14 @@
 
 
 def pack(value: Any) -> Any:
-    """Return an object's value with its long lists of strings packed."""
+    """Return an object's value with its long lists of strings replaced by packed ones."""
     if not isinstance(value, dict):
         return value
     return {name: _pack_item(item) for name, item in value.items()}
 
 
 def unpack(value: Any) -> Any:
-    """Return a value as it was before ``pack``."""
+    """Return the value that ``pack`` was given."""
     if not isinstance(value, dict):
         return value
     return {
--- a/src/wagtailpoint/config/reader.py
+++ b/src/wagtailpoint/config/reader.py
@@ -1,4 +1,4 @@
-"""Reading the configuration's objects: the head, the chain of manifests and the contents."""
+"""Reads the stored configuration: the head, the chain of manifests and the contents."""
 
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple, TypeVar
@@ -27,7 +27,7 @@
 
 
 class CurrentHead(NamedTuple):
-    """The head as it was read, and its manifest; before the first change both are absent."""
+    """The head that was read and its manifest; before the first change both are absent."""
 
     head_version: int
     manifest_name: str | None
@@ -35,21 +35,21 @@
 
     @property
     def version(self) -> int:
-        """The version of the newest change, 0 before the first."""
+        """The version of the newest change; 0 before the first change."""
         return self.manifest["version"] if self.manifest else 0
 
     @property
     def objects(self) -> Mapping[str, str]:
-        """The hash of each object by ``kind/name``."""
+        """The hash of each object's content, by ``kind/name``."""
         return self.manifest["objects"] if self.manifest else {}
 
 
 class ConfigReader:
-    """Reads heads, manifests and contents; keeps nothing.
+    """Reads heads, manifests and contents; caches nothing.
 
     Args:
-        platform: Is read.
-        keep: Is given the value of each content as it is read, and returns what to keep of it.
+        platform: The platform that stores them.
+        keep: Maps the value of each content that is read to the form stored in the snapshot.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
     async def read_at_head(
         self, head: StoredObject | None
     ) -> Result[CurrentHead, PlatformUnavailable]:
-        """Read the manifest of a head that was already read."""
+        """Read the manifest that an already read head names."""
         if head is None:
             return Ok(CurrentHead(ABSENT, None, None))
         value = convert_value(head.value, Head)
@@ -78,7 +78,7 @@
         )
 
     async def read_manifest(self, name: str) -> Result[Manifest, PlatformUnavailable]:
-        """Read one manifest."""
+        """Read a manifest by its name."""
         return (await self._read_immutable(MANIFEST_KIND, name)).and_then(
             lambda value: convert_value(value, Manifest)
         )
@@ -88,14 +88,14 @@
         if isinstance(outcome, Err):
             return outcome
         if outcome.ok_value is None:
-            # It was written before the head that led here, so only a lagging read misses it.
-            return Err(PlatformUnavailable(f"{kind}/{name} can't be read yet"))
+            # The object was written before the head that refers to it, so the read was stale.
+            return Err(PlatformUnavailable(f"stale read: {kind}/{name} is not visible yet"))
         return Ok(outcome.ok_value.value)
 
     async def read_manifests_after(
         self, current: CurrentHead, version: int
     ) -> Result[list[Manifest], PlatformUnavailable]:
-        """The manifests after ``version``, the newest first."""
+        """Return the manifests of all versions after ``version``, newest first."""
         found: list[Manifest] = []
         manifest = current.manifest
         while manifest is not None and manifest["version"] > version:
@@ -111,7 +111,7 @@
     async def read_snapshot(
         self, manifest: Manifest, known: Mapping[str, Any]
     ) -> Result[Snapshot, PlatformUnavailable]:
-        """Put a snapshot together, fetching the contents that are not in ``known``."""
+        """Build the snapshot of a manifest; fetch only contents whose hash is not in ``known``."""
         hashes = manifest["objects"]
         contents = {name: known[name] for name in hashes.values() if name in known}
         missing = iter(sorted(set(hashes.values()) - contents.keys()))
@@ -135,15 +135,15 @@
 
 
 def convert_value(value: Any, wire_type: type[_T]) -> Result[_T, PlatformUnavailable]:
-    """The value as ``wire_type``, or what is wrong with it."""
+    """Convert a stored value to ``wire_type``; an error if it doesn't match the type."""
     try:
         return Ok(msgspec.convert(value, wire_type))
     except msgspec.ValidationError as error:
-        return Err(PlatformUnavailable(f"not a {wire_type.__name__.lower()}: {error}"))
+        return Err(PlatformUnavailable(f"invalid {wire_type.__name__.lower()}: {error}"))
 
 
 def contents_by_hash(snapshot: Snapshot | None) -> dict[str, Any]:
-    """The contents of a snapshot by their hash."""
+    """Return the contents of a snapshot by their hash."""
     if snapshot is None:
         return {}
     hashes = snapshot.content_hashes
--- a/src/wagtailpoint/config/store.py
+++ b/src/wagtailpoint/config/store.py
@@ -1,10 +1,10 @@
-"""The configuration in the platform: every accepted change has one place in one order.
+"""Stores the configuration in the platform, with all changes in one total order.
 
-The platform updates only one object at a time. A change of several objects is made atomic by
-writing everything immutable first (contents and a manifest, both named by their hash, so that
-writing them twice is harmless) and then updating one object, ``config-head/current``, under the
-condition that nobody did so in between. What was written before a change that is not accepted is
-never read by anyone. See ``docs/design/configuration.md``.
+The platform updates only one object at a time. To make a change of several objects atomic, the
+store first writes the immutable objects (contents and a manifest, both named by their hash, so
+that writing them twice is harmless) and then updates one object, ``config-head/current``, on the
+condition that it has not been updated in between. Immutable objects of a change that is not
+committed are never read. See ``docs/design/configuration.md``.
 """
 
 import secrets
@@ -39,11 +39,11 @@
 
 
 class ApplyConflict(NamedTuple):
-    """A change that was refused because somebody else changed the same objects.
+    """A change that was refused because another change concerns the same objects.
 
     Attributes:
         other: The newest such change.
-        objects: The objects that both changed, as ``kind/name``.
+        objects: The objects that both changes concern, as ``kind/name``.
     """
 
     other: ChangeInfo
@@ -54,11 +54,13 @@
 
 
 class _RequestedChange(NamedTuple):
-    """What an operator asked for, whichever version it will land on.
+    """A change as requested by an operator, independent of the version it is applied to.
 
     Attributes:
-        puts: The hash of each object's new content.
-        deletes: The objects to delete; None: all that are not put.
+        info: The author, time and message of the change; its version is not set.
+        base_version: The version that the operator based the change on.
+        puts: The hash of each object's new content, by ``kind/name``.
+        deletes: The objects to delete; None deletes all objects that are not in ``puts``.
     """
 
     info: ChangeInfo
@@ -67,13 +69,13 @@
     deletes: frozenset[str] | None
 
     def overlapping_keys(self, changed: frozenset[str]) -> frozenset[str]:
-        """Which of the objects that somebody else changed this change is about."""
+        """Return those of the objects changed by others that this change concerns too."""
         if self.deletes is None:
             return changed
         return changed & (self.deletes | self.puts.keys())
 
     def build_manifest(self, current: CurrentHead) -> Manifest:
-        """The manifest of this change as the one after ``current``."""
+        """Return the manifest that applies this change on top of ``current``."""
         kept = {
             key: content
             for key, content in current.objects.items()
@@ -94,12 +96,12 @@
     """Reads and changes the configuration.
 
     Args:
-        platform: The platform.
-        clock_wall: Seconds since the epoch, for the time that people see beside a change.
-        settle_s: How long a write with a lost answer is looked for, in seconds.
-        check: Called with what is about to be accepted, merged with what others changed meanwhile;
+        platform: The platform that stores the configuration.
+        clock_wall: Returns seconds since the epoch; recorded with each change for display.
+        settle_s: How long to resolve the outcome of a write whose answer was lost, in seconds.
+        check: Called with the snapshot about to be committed, which includes concurrent changes;
             raises ``InvalidInput`` to refuse it.
-        keep: What is kept of each value that is read, see ``packed.pack``.
+        keep: Maps each value that is read to the form kept in memory, see ``packed.pack``.
     """
 
     def __init__(
@@ -116,7 +118,7 @@
         self._clock_wall = clock_wall
         self._settle_s = settle_s
         self._check = check
-        # Of the newest snapshot, so that a change made on it fetches nothing again.
+        # Contents of the newest snapshot by hash; a change based on it need not fetch them again.
         self._contents: dict[str, Any] = {}
 
     async def read(self) -> Result[Snapshot | None, PlatformUnavailable]:
@@ -129,18 +131,18 @@
         """Read the newest configuration, fetching only what differs from ``known``.
 
         Returns:
-            The newest snapshot, or ``known`` itself if the platform has none that is newer: a
-            lagging read never leads back.
+            The newest snapshot, or ``known`` itself if the platform returns none that is newer, so
+            that a stale read never reverts to an older version.
         """
         head = await self._platform.get(kind=HEAD_KIND, name=HEAD_NAME)
         if isinstance(head, Err):
             return head
-        return await self.follow(head.ok_value, known)
+        return await self.read_at_head(head.ok_value, known)
 
-    async def follow(
+    async def read_at_head(
         self, head: StoredObject | None, known: Snapshot | None
     ) -> Result[Snapshot | None, PlatformUnavailable]:
-        """Like ``read_since`` for a head that was already read, for example by a watch."""
+        """Do the same as ``read_since`` for an already read head, for example from a watch."""
         if head is None:
             return Ok(known)
         value = convert_value(head.value, Head)
@@ -165,13 +167,13 @@
         author: str,
         message: str,
     ) -> Result[Snapshot, ApplyError]:
-        """Put and delete objects in one step, made against ``base_version`` (0: there is none).
+        """Put and delete objects atomically, based on ``base_version`` (0: no configuration yet).
 
-        Changes of other objects since then are kept; a change of the same ones is a conflict.
-        ``OutcomeUnknown`` names the change id, by which ``history`` tells later whether it landed.
+        Later changes of other objects are kept; a later change of the same objects is a conflict.
+        ``OutcomeUnknown`` names the change id; ``history`` shows later whether it was committed.
 
         Raises:
-            InvalidInput: A key or a value that can't be stored, or ``check`` refused the result.
+            InvalidInput: A key or a value can't be stored, or ``check`` refused the result.
         """
         check_objects(puts, frozenset(deletes))
         change = _RequestedChange(
@@ -185,12 +187,13 @@
     async def revert(
         self, *, to_version: int, author: str, message: str, base_version: int
     ) -> Result[Snapshot, ApplyError]:
-        """Write the content of an older version as a newer one, in one step.
+        """Commit the content of an older version as a new version, atomically.
 
-        It concerns the whole configuration, so any change since ``base_version`` is a conflict.
+        A revert replaces the whole configuration, so any change since ``base_version`` is a
+        conflict.
 
         Raises:
-            InvalidInput: There is no such version, or ``check`` refused the result.
+            InvalidInput: The version doesn't exist, or ``check`` refused the result.
         """
         target = await self._manifest_at(to_version)
         if isinstance(target, Err):
@@ -204,7 +207,7 @@
         return await self._commit(change, {})
 
     async def history(self, *, most: int) -> Result[list[ChangeInfo], PlatformUnavailable]:
-        """The newest changes, the newest first; one call of the platform for each."""
+        """Return the newest changes, newest first; makes one platform call per change."""
         current = await self._reader.read_current()
         if isinstance(current, Err):
             return current
@@ -214,10 +217,10 @@
         return manifests.map(lambda found: [change_info(manifest) for manifest in found])
 
     async def at(self, version: int) -> Result[Snapshot, PlatformUnavailable]:
-        """Read the configuration as of one version.
+        """Read the configuration as of a version.
 
         Raises:
-            InvalidInput: There is no such version.
+            InvalidInput: The version doesn't exist.
         """
         manifest = await self._manifest_at(version)
         if isinstance(manifest, Err):
@@ -241,7 +244,7 @@
     async def _commit(
         self, change: _RequestedChange, contents: dict[str, Any]
     ) -> Result[Snapshot, ApplyError]:
-        """Make the change the next one, on top of whatever others changed meanwhile."""
+        """Commit a change on top of the newest version; rebase it if other changes come first."""
         current = await self._reader.read_current()
         for _ in range(_MAX_REBASES):
             if isinstance(current, Err):
@@ -256,7 +259,11 @@
             if not isinstance(outcome.err_value, Conflict):
                 return Err(outcome.err_value)
             current = await self._reader.read_at_head(outcome.err_value.current)
-        return Err(PlatformUnavailable("others kept changing the configuration; apply again"))
+        return Err(
+            PlatformUnavailable(
+                f"{_MAX_REBASES} concurrent changes were committed first; apply again"
+            )
+        )
 
     async def _find_conflict(
         self, change: _RequestedChange, current: CurrentHead
@@ -264,13 +271,13 @@
         if current.version == change.base_version:
             return Ok(None)
         if current.version < change.base_version:
-            problem = f"the platform is at version {current.version}, before"
+            problem = f"the platform returned version {current.version}, older than"
             return Err(PlatformUnavailable(f"{problem} base version {change.base_version}"))
         newer_manifests = await self._reader.read_manifests_after(current, change.base_version - 1)
         if isinstance(newer_manifests, Err):
             return newer_manifests
         older_objects: list[Mapping[str, str]] = [
-            manifest["objects"] for manifest in newer_manifests.ok_value[1:]
+            older_manifest["objects"] for older_manifest in newer_manifests.ok_value[1:]
         ]
         if change.base_version == 0:
             older_objects.append({})
@@ -285,8 +292,8 @@
     ) -> Result[Snapshot, Conflict | OutcomeUnknown | PlatformUnavailable]:
         manifest = change.build_manifest(current)
         check_manifest(manifest)
-        # Everything that may fail is done before the head is updated: a change that was accepted
-        # must not be reported as a failure because some other object could not be read.
+        # Read all contents before the head is updated: otherwise a failed read could report an
+        # already committed change as failed.
         snapshot = await self._reader.read_snapshot(manifest, {**self._contents, **contents})
         if isinstance(snapshot, Err):
             return snapshot
@@ -306,7 +313,7 @@
     async def _put_immutable(
         self, kind: str, name: str, value: Any
     ) -> Result[None, PlatformUnavailable]:
-        """Create an object named by its content; writing it again after a lost answer is safe."""
+        """Create an object named by its hash; repeating the write after a lost answer is safe."""
         give_up_at_s = trio.current_time() + self._settle_s
         while True:
             outcome = await self._platform.put(kind=kind, name=name, value=value, if_version=ABSENT)
@@ -315,17 +322,21 @@
             if isinstance(outcome.err_value, PlatformUnavailable):
                 return Err(outcome.err_value)
             if trio.current_time() > give_up_at_s:
-                return Err(PlatformUnavailable(f"no answer for {kind}/{name}; nothing accepted"))
+                return Err(
+                    PlatformUnavailable(
+                        f"{kind}/{name} not confirmed in {self._settle_s:g} s; nothing committed"
+                    )
+                )
             await trio.sleep(_RETRY_DELAY_S)
 
     async def _update_head(
         self, head: Head, current: CurrentHead
     ) -> Result[None, Conflict | OutcomeUnknown | PlatformUnavailable]:
-        """Update the head, and settle a lost answer by reading back.
+        """Update the head; resolve a lost answer by reading the head back.
 
-        While the head is still where it was, the lost write may yet arrive. It is then sent again
-        under the same condition: of the two at most one takes effect, and both say the same. Once
-        the head has moved neither can land any more, and the manifests tell whether one did.
+        While the head is unchanged, the lost write may still take effect. The same write is then
+        retried under the same condition, so that at most one of the two takes effect. Once the head
+        has changed, neither can take effect, and the manifests show whether one did.
         """
         give_up_at_s = trio.current_time() + self._settle_s
         may_have_been_sent = False
@@ -342,7 +353,7 @@
             if resolved is not None:
                 return resolved
             if trio.current_time() > give_up_at_s:
-                problem = "apply's answer was lost and the platform can't be read"
+                problem = "the answer to the update was lost and the platform can't be read"
                 return Err(OutcomeUnknown(f"{problem}; look for change {head['change_id']}"))
             await trio.sleep(_RETRY_DELAY_S)
 
@@ -352,7 +363,7 @@
         current: CurrentHead,
         error: Conflict | OutcomeUnknown | PlatformUnavailable,
     ) -> Result[None, Conflict] | None:
-        """Whether the head's update took effect, or for certain did not; None: not known yet."""
+        """Return Ok if the head's update took effect, Conflict if it can't, None if unknown."""
         if isinstance(error, Conflict):
             read: Result[StoredObject | None, PlatformUnavailable] = Ok(error.current)
         else:
--- a/src/wagtailpoint/config/templates.py
+++ b/src/wagtailpoint/config/templates.py
@@ -1,4 +1,4 @@
-"""Templates: a workspace's body with parameters to fill in."""
+"""Templates: workspace bodies with parameters that are substituted."""
 
 import re
 from collections.abc import Iterator, Mapping
@@ -24,13 +24,13 @@
     """One parameter of a template.
 
     Attributes:
-        name: As in ``${name}``.
+        name: The name in references such as ``${name}``.
         type: One of ``PARAMETER_TYPES``.
-        default: Used when the workspace does not give it; ``REQUIRED`` if it must.
-        minimum: The least number, or None.
-        maximum: The greatest number, or None.
+        default: The value if the workspace sets none; ``REQUIRED`` if it has to set one.
+        minimum: The smallest number allowed, or None.
+        maximum: The largest number allowed, or None.
         choices: The values allowed, or None for any.
-        description: For operators.
+        description: A text for operators.
     """
 
     name: str
@@ -43,7 +43,7 @@
 
     @property
     def expected(self) -> str:
-        """What a value must be, for messages."""
+        """A description of valid values for error messages."""
         if self.choices is not None:
             return one_of(show(choice) for choice in self.choices)
         if self.type in ("integer", "number"):
@@ -51,7 +51,7 @@
         return f"parameter ({self.type})"
 
     def accepts(self, value: Any) -> bool:
-        """Whether a value has the type, range and choice."""
+        """Return whether a value has the right type, is in range and is one of the choices."""
         if not _has_type(value, self.type):
             return False
         if self.choices is not None and value not in self.choices:
@@ -62,12 +62,12 @@
 
 
 class Template(NamedTuple):
-    """A template.
+    """A workspace body with references to parameters.
 
     Attributes:
         name: Its name.
-        parameters: By name.
-        body: The workspace's JSON, with references such as ``${name}`` in it.
+        parameters: Its parameters, by name.
+        body: The workspace's JSON with references such as ``${name}``.
     """
 
     name: str
@@ -76,7 +76,7 @@
 
 
 def read_template(name: str, reader: ObjectReader, mistakes: list[Mistake]) -> Template:
-    """Read a template object and check its references to parameters."""
+    """Read a ``template`` object and check its references to parameters."""
     parameters = {
         key: _read_parameter(key, item)
         for key, item in reader.named_objects("parameters", default={}).items()
@@ -96,16 +96,16 @@
 def expand_template(
     template: Template, given: Mapping[str, Any], *, path: str, mistakes: list[Mistake]
 ) -> dict[str, Any]:
-    """Fill in a template's parameters.
+    """Substitute a workspace's parameters in its template.
 
     Args:
         template: The template.
         given: The workspace's parameters.
-        path: The place of the workspace's parameters.
-        mistakes: Where mistakes are collected.
+        path: The path of the workspace's parameters in error messages.
+        mistakes: The list to which mistakes are appended.
 
     Returns:
-        The workspace's body; of use only if no mistake was recorded.
+        The workspace's body; valid only if no mistake was recorded.
     """
     for name, value in given.items():
         if name not in template.parameters:
@@ -131,8 +131,8 @@
         name=name,
         type=reader.text("type", choices=PARAMETER_TYPES),
         default=REQUIRED,
-        minimum=reader.optional_number("minimum", unit="least value"),
-        maximum=reader.optional_number("maximum", unit="greatest value"),
+        minimum=reader.optional_number("minimum", unit="smallest value"),
+        maximum=reader.optional_number("maximum", unit="largest value"),
         choices=tuple(choices) or None,
         description=reader.text("description", default="-"),
     )
@@ -156,7 +156,7 @@
 
 
 def _find_references(value: Any, path: str) -> Iterator[tuple[str, str]]:
-    """Every reference to a parameter, with its place."""
+    """Yield the path and the parameter name of every reference."""
     if isinstance(value, str):
         for reference in _REFERENCE.findall(value):
             yield path, reference
--- a/src/wagtailpoint/config/watcher.py
+++ b/src/wagtailpoint/config/watcher.py
@@ -1,8 +1,8 @@
 """Follows the configuration in the platform and never delivers an older version after a newer one.
 
-Only a few instances of a failure domain watch, because each waiting watch is a call that the
-platform counts; the others hear of changes from peers and only poll now and then, in case no peer
-told them.
+Only a few instances of a failure domain watch, because every open watch counts as a call to the
+platform. The others receive changes from peers and poll at long intervals, in case no peer sent
+them.
 """
 
 import random
@@ -18,8 +18,8 @@
 from wagtailpoint.ports.platform import Platform, StoredObject
 
 WATCH_WAIT_S = 5.0
-"""The longest wait of a watch. One that is never answered hides changes for so long, and a change
-has to be in force everywhere within 11 s."""
+"""Longest wait of a watch; an unanswered watch hides changes until it times out, and a change must
+be enforced everywhere within 11 s."""
 
 POLL_INTERVAL_S = 30.0
 MIN_BACKOFF_S = 0.2
@@ -27,16 +27,16 @@
 
 
 class ConfigWatcher:
-    """A task that delivers each newer configuration once.
+    """Delivers each newer configuration once.
 
     Args:
         store: Reads the configuration.
-        platform: Is watched.
-        on_snapshot: Is given each snapshot that is newer than all before; must not raise.
-        watching: Whether to watch or only to poll.
-        wait_s: The longest wait of one watch, in seconds.
-        poll_s: The time between two polls while not watching, in seconds, give or take a half.
-        rng: For the jitter, which keeps the instances from asking all at the same moment.
+        platform: The platform that is watched.
+        on_snapshot: Called with each snapshot that is newer than all previous ones; must not raise.
+        watching: Whether to watch; if not, the instance only polls.
+        wait_s: Longest wait of one watch, in seconds.
+        poll_s: Mean time between two polls while not watching, in seconds; jitter is +/- 50 %.
+        rng: Source of the jitter, which keeps the instances from calling at the same moment.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
 
     @property
     def watching(self) -> bool:
-        """Whether this instance watches; may be changed at any time."""
+        """Whether this instance watches; can be changed at any time."""
         return self._watching
 
     @watching.setter
@@ -75,10 +75,10 @@
             self._iteration_scope.cancel()
 
     def learn(self, snapshot: Snapshot) -> bool:
-        """Take over a snapshot that a peer had, and deliver it if it is newer than all before.
+        """Deliver a snapshot, for example from a peer, if it is newer than all previous ones.
 
         Returns:
-            Whether it was newer.
+            Whether the snapshot was newer.
         """
         if self._latest is not None and snapshot.change.version <= self._latest.change.version:
             return False
@@ -101,7 +101,7 @@
         if isinstance(outcome, Err):
             return outcome.err_value
         if outcome.ok_value is None:
-            return PlatformUnavailable("there is no configuration yet")
+            return PlatformUnavailable("the platform has no configuration")
         self._backoff_s = MIN_BACKOFF_S
         self.learn(outcome.ok_value)
         return None
@@ -114,17 +114,17 @@
             kinds=[HEAD_KIND], from_version=self._watch_version, wait_s=self._wait_s
         )
         if isinstance(outcome, Err):
-            # Whatever the failure, the next round lists: the platform that answers then need not
-            # be the one that this watch's version came from.
+            # List again after any failure: the next call may reach another server of the platform,
+            # for which the version of this watch is not valid.
             self._watch_version = None
             return outcome.err_value
         batch = outcome.ok_value
         head_objects = [event.stored for event in batch.events if event.action == "put"]
         elapsed_s = trio.current_time() - started_s
         if not head_objects and elapsed_s < min(self._wait_s, MIN_BACKOFF_S):
-            return PlatformUnavailable("a watch came back early with nothing")
+            return PlatformUnavailable(f"a watch returned without events after {elapsed_s:.3f} s")
         self._backoff_s = MIN_BACKOFF_S
-        # A watch answered by a lagging replica may name an older version than the one asked from.
+        # A stale replica may answer a watch with a version older than the requested one.
         self._watch_version = max(self._watch_version, batch.version)
         return await self._follow(head_objects[-1]) if head_objects else None
 
@@ -137,9 +137,9 @@
         return await self._follow(head_objects[0]) if head_objects else None
 
     async def _follow(self, head: StoredObject) -> PlatformUnavailable | None:
-        outcome = await self._store.follow(head, self._latest)
+        outcome = await self._store.read_at_head(head, self._latest)
         if isinstance(outcome, Err):
-            # The event is used up, so watching on from here would miss this change.
+            # The event won't be sent again, so continuing from its version would miss this change.
             self._watch_version = None
             return outcome.err_value
         if outcome.ok_value is not None:
--- a/tests/cover/test_blocks.py
+++ b/tests/cover/test_blocks.py
@@ -1,4 +1,4 @@
-"""Client blocks: reading only what changed, and the list of all."""
+"""Client blocks: the list of all blocks, and reading only changed objects."""
 
 import unittest
 from typing import Any
@@ -42,11 +42,11 @@
         self.assertEqual(list(changed), [ClientBlock("10.0.0.0/8", "x")])
         self.assertEqual(len(self.read({"a": self.first})[0]), 1)
 
-    def test_a_mistake_is_found_each_time(self) -> None:
-        """A wrong object is refused once and accepted, unchanged, the second time.
+    def test_mistake_is_reported_on_each_read(self) -> None:
+        """Guards against accepting, on the second read, an object that the first read rejected.
 
-        Symptom: instances serve a configuration that the tool refuses. An object is read, found
-        wrong, and offered again with a later change. Cause: remembering what was refused.
+        The reader skips unchanged objects. If it also remembered rejected ones, instances would
+        enforce a configuration that the command-line tool rejects.
         """
         values = {"a": self.first, "b": {"region": "y", "networks": ["10.0.0.0/8", "x"]}}
         for _ in range(2):
--- a/tests/cover/test_compile.py
+++ b/tests/cover/test_compile.py
@@ -1,4 +1,4 @@
-"""From objects to the effective configuration, and every mistake that is refused."""
+"""Compiling objects into the effective configuration, and the mistakes that are rejected."""
 
 import copy
 import unittest
@@ -68,7 +68,7 @@
     "blocks/east": {"region": "east", "networks": ["10.1.0.0/16"]},
 }
 
-# What is changed (object, path to the field, new value) and the path and words of the mistake.
+# The change (object, path to the field, new value), then the path and a part of the error message.
 MISTAKES: list[tuple[str, list[Any], Any, str, str]] = [
     ("region/east", ["capacity"], 5, "region/east: capacity", "did you mean 'capacity_rps'"),
     ("region/east", ["latency_ms"], {}, "region/east: latency_ms.west", "milliseconds"),
@@ -170,7 +170,7 @@
 
 
 def changed(key: str, path: list[Any], value: Any) -> dict[str, Any]:
-    """The objects with one field changed."""
+    """Return the objects with one field changed."""
     objects = copy.deepcopy(OBJECTS)
     target = objects[key]
     for step in path[:-1]:
@@ -192,7 +192,7 @@
         self.assertEqual(workspace.routes[0].timeout_s, 2.0)
         self.assertEqual(config.client_blocks[0].region, "east")
 
-    def test_each_mistake_is_refused_with_its_path(self) -> None:
+    def test_each_mistake_is_reported_with_its_path(self) -> None:
         for key, path, value, place, words in MISTAKES:
             with self.subTest(place=place, value=value):
                 result = compile_config(version=1, objects=changed(key, path, value))
@@ -212,12 +212,12 @@
             sorted(paths), ["drain/one: failure_domain", "move/shift: cap_rps", "moves/typo"]
         )
 
-    def test_two_moves_of_the_same_workspace_and_service(self) -> None:
+    def test_rejects_two_moves_of_the_same_workspace_and_service(self) -> None:
         objects = {**OBJECTS, "move/z": OBJECTS["move/shift"]}
         result = compile_config(version=1, objects=objects)
         assert isinstance(result, Err)
         self.assertEqual([item.path for item in result.err_value.mistakes], ["move/z: workspace"])
 
-    def test_a_finished_move_may_be_settled_before_it_is_deleted(self) -> None:
+    def test_workspace_may_name_the_target_group_of_a_finished_move(self) -> None:
         objects = changed("workspace/own", ["parameters", "group"], "acquired")
         self.assertTrue(compile_config(version=1, objects=objects).is_ok())
--- a/tests/cover/test_config_store.py
+++ b/tests/cover/test_config_store.py
@@ -1,4 +1,4 @@
-"""The configuration in the platform: one order, conflicts, lost answers, going back."""
+"""The configuration store: total order of changes, conflicts, lost answers and reverts."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -70,7 +70,7 @@
 
         run(test)
 
-    def test_bad_input_is_refused_before_the_platform_is_asked(self) -> None:
+    def test_invalid_input_is_rejected_without_a_platform_call(self) -> None:
         async def test() -> None:
             for puts, deletes, named in (
                 ({"blocks/west": "x" * 900_000}, [], "blocks/west"),
@@ -87,7 +87,7 @@
 
         run(test)
 
-    def test_an_outage_changes_nothing(self) -> None:
+    def test_apply_during_an_outage_changes_nothing(self) -> None:
         async def test() -> None:
             await self.put("service/a", 1, base=0)
             self.platform.set_down(True)
@@ -98,7 +98,7 @@
 
         run(test)
 
-    def test_a_read_fetches_only_what_changed(self) -> None:
+    def test_read_since_fetches_only_changed_contents(self) -> None:
         async def test() -> None:
             for version, key in enumerate(["service/a", "service/b"]):
                 await self.put(key, key, base=version)
@@ -113,7 +113,7 @@
 
         run(test)
 
-    def test_a_lagging_read_never_leads_back(self) -> None:
+    def test_stale_read_does_not_revert_to_an_older_version(self) -> None:
         async def test() -> None:
             await self.put("service/a", 1, base=0)
             self.platform.answer_stale()
@@ -125,7 +125,7 @@
 
 class RaceTest(StoreCase):
     def race(self, key: str, author: str, value: Any) -> None:
-        """Let another operator's change, made on the same base, land just before the next head."""
+        """Commit another operator's change on the same base just before the next head update."""
 
         async def before_put(kind: str, _: str) -> None:
             if kind == HEAD_KIND:
@@ -134,11 +134,11 @@
 
         self.platform.before_put = before_put
 
-    def test_racing_operators_get_a_conflict_that_names_the_other(self) -> None:
-        """Symptom: an operator's change was gone without a word.
+    def test_conflict_names_the_concurrent_change(self) -> None:
+        """Guards against a lost update.
 
-        Sequence: two operators read version 1, both changed service/a, the later write covered
-        the earlier. Cause: an update without the condition that nothing changed since.
+        Two operators read version 1 and change service/a. Without the condition that the head is
+        unchanged, the later write silently overwrites the earlier one.
         """
 
         async def test() -> None:
@@ -152,11 +152,11 @@
 
         run(test)
 
-    def test_racing_changes_of_different_objects_both_land_in_one_order(self) -> None:
-        """Symptom: of two changes at the same moment one was lost, or refused without need.
+    def test_concurrent_changes_of_different_objects_are_both_committed(self) -> None:
+        """Guards against losing or needlessly rejecting one of two concurrent changes.
 
-        Sequence: both were made on version 1, bob's head came first. Cause: a manifest that was
-        made on version 1 replaced bob's instead of being made again on top of it.
+        Both are based on version 1 and bob's is committed first. Ann's manifest has to be rebuilt
+        on top of bob's: written as it is, it would discard bob's change.
         """
 
         async def test() -> None:
@@ -169,7 +169,7 @@
 
         run(test)
 
-    def test_a_change_that_was_taken_back_meanwhile_is_still_a_conflict(self) -> None:
+    def test_concurrent_change_is_a_conflict_even_if_undone(self) -> None:
         async def test() -> None:
             for version, value in enumerate([1, 2, 1]):
                 await self.put("service/a", value, base=version, author=f"author {version + 1}")
@@ -179,7 +179,7 @@
 
         run(test)
 
-    def test_many_operators_at_once_all_land(self) -> None:
+    def test_many_concurrent_changes_are_all_committed(self) -> None:
         async def test() -> None:
             async def put(number: int) -> None:
                 (await self.put(f"service/{number}", number, base=0)).unwrap()
@@ -199,11 +199,11 @@
         setattr(self.platform, fault, count)
         self.platform.writes_of = kind
 
-    def test_a_lost_answer_of_the_head_is_settled_by_reading_back(self) -> None:
-        """Symptom: an operator saw an error and applied again; the change was made twice.
+    def test_lost_answer_of_the_head_update_is_resolved_by_reading_back(self) -> None:
+        """Guards against reporting a committed change as failed, after which it is applied twice.
 
-        Sequence: the head was updated, its answer was lost. Cause: the writer took the missing
-        answer for a failure, though the head already named its change.
+        The head update takes effect but its answer is lost. The store has to read the head back,
+        which already names the change.
         """
 
         async def test() -> None:
@@ -216,11 +216,12 @@
 
         run(test)
 
-    def test_it_is_found_below_the_head_when_others_went_on(self) -> None:
-        """Symptom: a change that was in force was reported as a conflict with its successor.
+    def test_lost_answer_is_resolved_after_a_later_change(self) -> None:
+        """Guards against reporting a committed change as a conflict with its successor.
 
-        Sequence: ann's head landed, its answer was lost, bob's change came on top before ann read
-        back. Cause: looking only at the head, not along the manifests.
+        Ann's head update takes effect but its answer is lost, and bob commits a change on top of
+        it before ann reads back. The head alone shows only bob's change, so the store has to follow
+        the manifests.
         """
 
         async def test() -> None:
@@ -239,7 +240,7 @@
 
         run(test)
 
-    def test_a_lost_request_is_sent_again_under_the_same_condition(self) -> None:
+    def test_lost_request_is_retried_under_the_same_condition(self) -> None:
         async def test() -> None:
             for base, kind in enumerate((HEAD_KIND, MANIFEST_KIND, CONTENT_KIND)):
                 self.lose("lose_requests", kind=kind, count=1)
@@ -248,7 +249,7 @@
 
         run(test)
 
-    def test_a_lost_request_that_a_rival_overtook_is_no_success(self) -> None:
+    def test_lost_request_overtaken_by_another_change_is_a_conflict(self) -> None:
         async def test() -> None:
             await self.put("service/a", 1, base=0)
             self.lose("lose_requests", kind=HEAD_KIND, count=1)
@@ -266,7 +267,7 @@
 
         run(test)
 
-    def test_what_cannot_be_settled_is_said_to_be_unknown(self) -> None:
+    def test_unresolvable_outcome_is_reported_as_unknown(self) -> None:
         async def test() -> None:
             self.lose("lose_answers", kind=HEAD_KIND, count=1)
 
@@ -284,7 +285,7 @@
 
 
 class RevertTest(StoreCase):
-    def test_older_content_becomes_a_newer_version_in_one_step(self) -> None:
+    def test_older_content_becomes_a_new_version_atomically(self) -> None:
         async def test() -> None:
             await self.put("service/a", 1, base=0)
             await self.put("service/a", 2, base=1)
--- a/tests/cover/test_config_watcher.py
+++ b/tests/cover/test_config_watcher.py
@@ -1,4 +1,4 @@
-"""Following the configuration: nothing older after something newer, whatever the platform does."""
+"""The configuration watcher: delivers versions in rising order, whatever the platform answers."""
 
 import random
 import unittest
@@ -17,12 +17,12 @@
 from wagtailpoint.errors import PlatformUnavailable, WatchTooOld
 
 LIMIT_S = 3600
-IN_FORCE_S = 11.0
+MAX_DELIVERY_S = 11.0
 CALL_TIMEOUT_S = 2.0
 
 
 class TimingOutPlatform(FakePlatform):
-    """Gives up a watch that is never answered, as the client of the platform does."""
+    """Times out a watch that is never answered, as the platform client does."""
 
     async def watch(self, *, wait_s: float, **arguments: Any) -> WatchAnswer:
         with trio.move_on_after(wait_s + CALL_TIMEOUT_S):
@@ -79,7 +79,7 @@
         trio.run(run, clock=MockClock(autojump_threshold=0))
         self.assertEqual(self.versions, sorted(set(self.versions)))
 
-    def test_changes_are_delivered_at_once(self) -> None:
+    def test_changes_are_delivered_immediately(self) -> None:
         async def test(_: ConfigWatcher) -> None:
             await trio.testing.wait_all_tasks_blocked()
             for version in (1, 2, 3):
@@ -90,12 +90,12 @@
 
         self.run_with(test)
 
-    def test_a_stale_watch_never_reverts(self) -> None:
-        """Symptom: a revoked route came back on some instances for a minute.
+    def test_stale_watch_does_not_revert_the_configuration(self) -> None:
+        """Guards against enforcing an older version again, for example a revoked route.
 
-        Sequence: the instance had version 3; its next watch was answered by a replica that still
-        had the events of versions 1 and 2, and whose reads lagged too. Cause: taking the last
-        event that arrived for the newest configuration.
+        An instance has version 3. A stale replica, whose reads are stale too, answers its next
+        watch with the events of versions 1 and 2. The latest event received is then not the newest
+        configuration.
         """
 
         async def test(_: ConfigWatcher) -> None:
@@ -118,7 +118,7 @@
 
         self.run_with(test)
 
-    def test_events_that_were_forgotten_are_made_up_for_by_a_listing(self) -> None:
+    def test_lists_again_after_the_platform_discarded_events(self) -> None:
         async def test(_: ConfigWatcher) -> None:
             await self.change(1)
             await self.until(1)
@@ -132,11 +132,11 @@
 
         self.run_with(test)
 
-    def test_a_change_whose_read_failed_is_not_missed(self) -> None:
-        """Symptom: one instance went on with an old configuration until the next change.
+    def test_change_is_delivered_after_a_failed_read(self) -> None:
+        """Guards against an instance that keeps an old configuration until the next change.
 
-        Sequence: a watch told of the new head, reading its manifest was refused, the next watch
-        went on behind that event. Cause: the event was used up before the change was delivered.
+        A watch returns the new head, but reading its manifest fails. If the next watch continued
+        after that event, the change would never be delivered.
         """
 
         async def test(_: ConfigWatcher) -> None:
@@ -153,7 +153,7 @@
 
         self.run_with(test)
 
-    def test_an_outage_is_met_with_few_calls(self) -> None:
+    def test_backs_off_during_an_outage(self) -> None:
         async def test(_: ConfigWatcher) -> None:
             await self.change(1)
             await self.until(1)
@@ -167,7 +167,7 @@
 
         self.run_with(test)
 
-    def test_without_watching_it_polls_slowly_and_can_be_switched(self) -> None:
+    def test_polls_while_not_watching_and_can_be_switched(self) -> None:
         async def test(watcher: ConfigWatcher) -> None:
             await self.change(1)
             await self.until(1)
@@ -190,7 +190,7 @@
 
         self.run_with(test, watching=False)
 
-    def test_what_a_peer_knew_is_not_undone_by_the_platform(self) -> None:
+    def test_stale_platform_does_not_revert_a_snapshot_from_a_peer(self) -> None:
         async def test(watcher: ConfigWatcher) -> None:
             await self.change(1)
             await self.until(1)
@@ -206,8 +206,12 @@
 
         self.run_with(test)
 
-    def test_watch_lost_in_a_short_silence_delays_no_change_beyond_its_bound(self) -> None:
-        """Guards against a watch that is never answered while all other calls are."""
+    def test_unanswered_watch_delays_a_change_within_its_bound(self) -> None:
+        """Guards against changes hidden by a watch that is never answered.
+
+        The platform doesn't answer for a moment, in which the watch is opened, and then answers all
+        other calls. The watch has to time out early enough for the change to be enforced in 11 s.
+        """
         self.platform = TimingOutPlatform(most_events=10)
         self.store = ConfigStore(platform=self.platform, clock_wall=lambda: 0.0)
 
@@ -221,6 +225,6 @@
             asked_s = trio.current_time()
             await self.change(2)
             await self.until(2)
-            self.assertLess(trio.current_time() - asked_s, IN_FORCE_S)
+            self.assertLess(trio.current_time() - asked_s, MAX_DELIVERY_S)
 
         self.run_with(test)
--- a/tests/cover/test_packed.py
+++ b/tests/cover/test_packed.py
@@ -1,4 +1,4 @@
-"""Values with long lists of strings, packed."""
+"""Packing of values with long lists of strings."""
 
 import unittest
 
@@ -11,12 +11,12 @@
 
 
 class PackedTest(unittest.TestCase):
-    def test_hash_is_the_same(self) -> None:
+    def test_packing_keeps_the_hash(self) -> None:
         self.assertIsNot(pack(VALUE)["networks"], NETWORKS)
         self.assertEqual(hash_of(pack(VALUE)), hash_of(VALUE))
         self.assertEqual(unpack(pack(VALUE)), VALUE)
 
-    def test_what_is_not_a_long_list_of_strings_stays(self) -> None:
+    def test_values_without_long_lists_of_strings_are_unchanged(self) -> None:
         for value in ("x", None, ["a"] * 100, {"a": list(range(100))}, {"a": ["b"]}):
             self.assertEqual(pack(value), value)
             self.assertEqual(unpack(value), value)
--- a/tests/integration/test_config_failures.py
+++ b/tests/integration/test_config_failures.py
@@ -1,4 +1,4 @@
-"""An accepted configuration is in force everywhere within seconds, and no instance goes back."""
+"""An accepted configuration is enforced everywhere in seconds, and no instance reverts it."""
 
 import json
 from collections.abc import Iterator, Sequence
@@ -19,12 +19,12 @@
 from wagtailpoint.settings import check_settings
 from wagtailpoint.verdict import Verdict
 
-POLL_S = 0.05
-SECONDS_S = 30.0
+POLL_INTERVAL_S = 0.05
+ENFORCED_TIMEOUT_S = 30.0
 
 
 class VersionSampler:
-    """Reads the version in force on all instances again and again, on a thread of its own."""
+    """Polls the version that each instance enforces, on a separate thread."""
 
     def __init__(self, *, entries: list[EntryProcess]) -> None:
         self._entries = entries
@@ -44,7 +44,7 @@
             thread.join()
 
     def _run(self) -> None:
-        while not self._over.wait(POLL_S):
+        while not self._over.wait(POLL_INTERVAL_S):
             for entry in self._entries:
                 self._sample(entry)
 
@@ -55,7 +55,7 @@
             return
         self.samples += 1
         before = self._newest.get(entry.settings.address, 0)
-        # A starting instance has none yet, serves nothing and says so.
+        # A starting instance reports version 0: it has no configuration and serves no requests.
         if version and version < before:
             self.went_back.append(f"{entry.settings.address}: {version} after {before}")
         self._newest[entry.settings.address] = max(version, before)
@@ -78,32 +78,33 @@
         self.assertEqual(self.sampler.went_back, [])
 
     def adjust(self, max_rps: int, *options: str) -> tuple[int, str]:
-        """Change a workspace by the command-line tool."""
+        """Change a workspace with the command-line tool; return its exit code and output."""
         done = self.running.cli(
             "workspace", "adjust", "surakkha", "--set", f"max_rps={max_rps}", *options
         )
         return done.returncode, done.stdout + done.stderr
 
     def version(self) -> int:
-        """The newest accepted version."""
+        """Return the newest accepted version."""
         done = self.running.cli("get", "--json")
         return int(json.loads(done.stdout)["version"])
 
     def versions(self, entries: Sequence[EntryProcess] = ()) -> list[int]:
-        """What each instance enforces."""
+        """Return the version that each instance enforces."""
         asked = entries or self.running.entries
         return [entry.page("status")["config_version"] for entry in asked]
 
     def wait_in_force(self, version: int, entries: Sequence[EntryProcess] = ()) -> None:
-        self.wait_until(lambda: min(self.versions(entries)) >= version, limit_s=SECONDS_S)
+        self.wait_until(lambda: min(self.versions(entries)) >= version, limit_s=ENFORCED_TIMEOUT_S)
 
 
 class RacingOperatorsTest(ConfigCase):
-    def test_operators_who_looked_at_the_same_version(self) -> None:
-        """Symptom: one operator's change of a workspace vanishes without a word.
+    def test_operators_change_the_same_version(self) -> None:
+        """Guards against a lost update of a workspace.
 
-        Sequence: four operators look at the same version and change the same workspace at the same
-        moment. Cause: the last write wins. Here one is accepted, the others are told of it.
+        Four operators read the same version and change the same workspace concurrently. If the last
+        write won, the other changes would be lost silently; one change has to be accepted and the
+        others rejected with a conflict that shows it.
         """
         base = self.version()
         with ThreadPoolExecutor(4) as pool:
@@ -120,10 +121,11 @@
         return self.adjust(max_rps, "--base-version", str(base), "--author", f"op-{max_rps}")
 
     def test_lost_answers_and_late_watches(self) -> None:
-        """Symptom: a change is reported as failed and stands, or is made twice.
+        """Guards against a committed change that is reported as failed, or made twice.
 
-        Sequence: the platform's answers to several writes are lost after they took effect, and its
-        watches see changes late. Cause: a write is repeated blindly, or believed to have failed.
+        The platform's answers to several writes are lost after the writes took effect, and its
+        watches are stale. The store may neither retry such a write without a condition nor take it
+        for failed.
         """
         base = self.version()
         for turn in range(3):
@@ -136,12 +138,12 @@
 
 
 class OutageTest(ConfigCase):
-    def test_all_instances_replaced_while_the_platform_is_out(self) -> None:
-        """Symptom: replaced during an outage, instances serve nothing, or an old configuration.
+    def test_all_instances_are_replaced_during_a_platform_outage(self) -> None:
+        """Guards against replaced instances that serve nothing, or enforce an old configuration.
 
-        Sequence: a change is accepted, the platform goes out, all instances are killed and started
-        again one after the other. Cause: instances keep nothing, and the platform cannot be asked;
-        the others can.
+        After a change the platform fails, and all instances are killed and restarted one after the
+        other. Instances store nothing locally and can't read the platform, so they have to get the
+        configuration from their peers.
         """
         code, text = self.adjust(2301, "--wait")
         self.assertEqual(code, ExitCode.OK, text)
@@ -153,10 +155,11 @@
         self.assertEqual(self.versions(), [version] * 3)
 
     def test_instance_frozen_through_a_change_twice(self) -> None:
-        """Symptom: an old configuration comes back with an instance that was paused.
+        """Guards against a paused instance that brings an old configuration back.
 
-        Sequence: an instance is frozen, a change is accepted and in force on the others, the
-        instance goes on; the same once more. Cause: it tells the others what it last knew.
+        An instance is frozen, a change is enforced on the others, and the instance resumes; then
+        the same again. The instance sends its peers the version that it had when it was frozen,
+        which they have to ignore.
         """
         frozen, *others = self.running.entries
         for turn in range(2):
@@ -168,11 +171,11 @@
             frozen.thaw()
             self.wait_in_force(version)
 
-    def test_frozen_instance_thawed_while_the_platform_is_out(self) -> None:
-        """Two faults: an instance frozen through a change thaws in an outage of the platform.
+    def test_frozen_instance_resumes_during_a_platform_outage(self) -> None:
+        """Guards against enforcing an old version until an outage of the platform ends.
 
-        Symptom: it enforces the old version until the outage is over. Sequence: freeze, change,
-        outage, thaw. Cause: it asks nobody but the platform.
+        Two faults: an instance is frozen during a change and resumes when the platform is down. It
+        has to get the change from its peers.
         """
         frozen = self.running.entries[1]
         frozen.freeze()
@@ -187,11 +190,12 @@
 
 class CutOffInstanceTest(ConfigCase):
     def test_cut_off_from_platform_and_peers(self) -> None:
-        """Symptom: an operator trusts that a change is in force; one instance never heard of it.
+        """Guards against reporting a change as enforced although one instance hasn't received it.
 
-        Sequence: an instance loses the platform and knows no peers; a change is accepted; the cut
-        is mended. Cause: nothing can reach it. It goes on with what it has, its callers being worse
-        off without it, and whoever waits for the change is told its address.
+        An instance without peers loses its connection to the platform, a change is accepted, and
+        the connection is restored. Nothing can reach the instance in between: it keeps serving with
+        the configuration that it has, as its callers would be worse off without it, and an operator
+        who waits for the change is shown its address.
         """
         with ExitStack() as stack:
             lone, proxy = self.start_lone(stack)
@@ -216,7 +220,7 @@
         self.assertEqual((unbound.status, unbound.verdict), (503, Verdict.NOT_RUN))
 
     def start_lone(self, stack: ExitStack) -> tuple[EntryProcess, ProxyProcess]:
-        """An instance that knows no peers, and the proxy before its platform."""
+        """Start an instance without peers and a proxy between it and the platform."""
         like = self.running.entries[0].settings
         directory = Path(stack.enter_context(TemporaryDirectory()))
         proxy = ProxyProcess(target=(like.platform[0].address, like.platform[0].port))
--- a/tests/integration/test_config_platform.py
+++ b/tests/integration/test_config_platform.py
@@ -1,4 +1,4 @@
-"""Configuration changes through the real client and a platform that runs as a process."""
+"""Configuration changes through the HTTP client and a platform that runs as a process."""
 
 import unittest
 from collections import Counter
@@ -49,7 +49,7 @@
         trio.run(run)
 
     def calls(self) -> Counter[str]:
-        """The calls so far, as ``METHOD KIND``."""
+        """Return the number of calls so far, by ``METHOD KIND``."""
         return Counter(
             {
                 f"{method} {kind}": count
@@ -58,11 +58,11 @@
             }
         )
 
-    def test_a_change_lands_once_though_every_answer_of_its_writes_is_lost(self) -> None:
-        """Symptom: an apply failed, its change was in force, and the repeat made it twice.
+    def test_change_is_committed_once_though_all_answers_to_its_writes_are_lost(self) -> None:
+        """Guards against reporting a committed change as failed, after which it is applied twice.
 
-        Sequence: contents, manifest and head were each written, each answer was lost. Cause: the
-        writer did not read back.
+        Contents, manifest and head are written, and the answer to each write is lost. The store has
+        to read back to find that the change is committed.
         """
 
         async def test(platform: HttpPlatform) -> None:
@@ -76,8 +76,8 @@
 
         self.run_with(test)
 
-    def test_what_a_change_costs(self) -> None:
-        """The figures of docs/design/configuration.md."""
+    def test_platform_calls_of_a_change(self) -> None:
+        """Checks the numbers of calls stated in docs/design/configuration.md."""
 
         async def test(platform: HttpPlatform) -> None:
             await put(new_store(platform), [f"service/{n}" for n in range(20)], base=0)
@@ -105,17 +105,17 @@
 
         self.run_with(test)
 
-    def test_a_watcher_follows_through_an_outage_and_late_watches(self) -> None:
+    def test_watcher_follows_through_an_outage_and_stale_watches(self) -> None:
         async def test(platform: HttpPlatform) -> None:
             versions: list[int] = []
             changed = trio.Condition()
 
-            async def until(version: int) -> None:
+            async def wait_for(version: int) -> None:
                 async with changed:
                     while version not in versions:
                         await changed.wait()
 
-            async def note(snapshot: Snapshot) -> None:
+            async def record(snapshot: Snapshot) -> None:
                 async with changed:
                     versions.append(snapshot.change.version)
                     changed.notify_all()
@@ -124,20 +124,20 @@
                 watcher = ConfigWatcher(
                     store=new_store(platform),
                     platform=platform,
-                    on_snapshot=lambda snapshot: nursery.start_soon(note, snapshot),
+                    on_snapshot=lambda snapshot: nursery.start_soon(record, snapshot),
                 )
                 nursery.start_soon(watcher.run)
                 store = new_store(platform)
                 await put(store, ["service/a"], base=0)
-                await until(1)
+                await wait_for(1)
                 before = self.calls()
                 await put(store, ["service/a"], base=1)
-                await until(2)
+                await wait_for(2)
                 self.process.set_mode(down=True)
                 self.assertTrue((await store.read()).is_err())
                 self.process.set_mode(down=False, stale_watch_s=0.2)
                 await put(store, ["service/a"], base=2)
-                await until(3)
+                await wait_for(3)
                 self.assertGreater(self.calls()["WATCH config-head"], before["WATCH config-head"])
                 self.assertEqual(versions, [1, 2, 3])
                 nursery.cancel_scope.cancel()
--- a/tests/nocover/test_any_input.py
+++ b/tests/nocover/test_any_input.py
@@ -1,7 +1,7 @@
-"""Whatever JSON an operator writes, the checks answer with a value and never raise.
+"""The checks of settings and objects return a result for any JSON value and never raise.
 
-An exception in them would stop an instance that meets such an object, instead of letting it keep
-its last good configuration.
+An exception would stop the instance that reads such an object, instead of letting it keep its last
+valid configuration.
 """
 
 import copy
@@ -31,19 +31,19 @@
 )
 
 
-def places(value: Any) -> list[list[Any]]:
-    """The path to every value inside a JSON value."""
+def paths_in(value: Any) -> list[list[Any]]:
+    """Return the path to every value inside a JSON value."""
     found: list[list[Any]] = []
     steps = value.items() if isinstance(value, dict) else enumerate(value)
     for step, inner in steps:
         found.append([step])
         if isinstance(inner, dict | list):
-            found += [[step, *rest] for rest in places(inner)]
+            found += [[step, *rest] for rest in paths_in(inner)]
     return found
 
 
-def replaced(value: Any, path: list[Any], new: Any) -> Any:
-    """A copy with one value replaced."""
+def with_value(value: Any, path: list[Any], new: Any) -> Any:
+    """Return a copy with one value replaced."""
     changed = copy.deepcopy(value)
     target = changed
     for step in path[:-1]:
@@ -54,17 +54,17 @@
 
 class AnyInputTest(unittest.TestCase):
     @settings(derandomize=True, max_examples=500, deadline=None)
-    @given(path=st.sampled_from(places(OBJECTS)), new=JSON)
+    @given(path=st.sampled_from(paths_in(OBJECTS)), new=JSON)
     def test_objects(self, path: list[Any], new: Any) -> None:
-        result = compile_config(version=1, objects=replaced(OBJECTS, path, new))
+        result = compile_config(version=1, objects=with_value(OBJECTS, path, new))
         if isinstance(result, Err):
             self.assertTrue(result.err_value.mistakes)
             self.assertTrue(all(mistake.path for mistake in result.err_value.mistakes))
 
     @settings(derandomize=True, max_examples=200, deadline=None)
-    @given(path=st.sampled_from(places(SETTINGS)), new=JSON)
+    @given(path=st.sampled_from(paths_in(SETTINGS)), new=JSON)
     def test_settings(self, path: list[Any], new: Any) -> None:
-        check_settings(replaced(SETTINGS, path, new))
+        check_settings(with_value(SETTINGS, path, new))
 
     @settings(derandomize=True, max_examples=200, deadline=None)
     @given(objects=st.dictionaries(st.text(max_size=12) | st.just("workspace/x"), JSON))
--- a/tests/nocover/test_config_races.py
+++ b/tests/nocover/test_config_races.py
@@ -1,4 +1,7 @@
-"""Several operators and watchers on a platform that loses, delays, refuses and answers stale."""
+"""Concurrent operators and a watcher on a platform that loses, delays and refuses calls.
+
+Its reads may also be stale.
+"""
 
 import random
 import unittest
@@ -29,7 +32,7 @@
 
 
 class UnreliablePlatform(FakePlatform):
-    """Every call takes a while and may meet a fault, both by a seed."""
+    """Delays every call and injects faults, both determined by a seed."""
 
     def __init__(self, *, rng: random.Random) -> None:
         super().__init__(most_events=10)
@@ -37,8 +40,8 @@
         self.healed = False
 
     async def _arrive(self, method: str, kind: str) -> PlatformUnavailable | None:
-        # Drawn from a continuum, no two calls arrive at the same moment: the seed alone decides
-        # the order of everything.
+        # Delays are continuous, so no two calls arrive at the same moment and the order of all
+        # events depends on the seed alone.
         await trio.sleep(self.rng.uniform(0.001, 0.02))
         if method == "PUT" and not self.healed and self.rng.random() < FAULT_CHANCE:
             setattr(self, self.rng.choice(FAULTS), 1)
@@ -54,7 +57,7 @@
 
 
 class Attempt(NamedTuple):
-    """One change that an operator tried."""
+    """A change that an operator attempted, with its reported outcome."""
 
     base_version: int
     key: str
@@ -62,8 +65,8 @@
     outcome: Result[Snapshot, ApplyError]
 
 
-class World:
-    """One run."""
+class Simulation:
+    """A simulation of operators, a watcher and the platform for one seed."""
 
     def __init__(self, *, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -75,7 +78,7 @@
     def new_store(self) -> ConfigStore:
         return ConfigStore(platform=self.platform, clock_wall=lambda: 0.0, settle_s=SETTLE_S)
 
-    async def disturb(self) -> None:
+    async def inject_faults(self) -> None:
         while True:
             await trio.sleep(self.rng.uniform(0.01, 0.3))
             self.platform.deliver_late()
@@ -114,7 +117,7 @@
                 )
                 nursery.start_soon(watcher.run)
                 async with trio.open_nursery() as disturbances:
-                    disturbances.start_soon(self.disturb)
+                    disturbances.start_soon(self.inject_faults)
                     async with trio.open_nursery() as operators:
                         for author in OPERATORS:
                             operators.start_soon(self.operate, author)
@@ -130,12 +133,12 @@
         for change in reversed(changes):
             self.history.append((await store.at(change.version)).unwrap())
 
-    def find(self, attempt: Attempt) -> list[ChangeInfo]:
+    def find_commits(self, attempt: Attempt) -> list[ChangeInfo]:
         author, number = attempt.value
         return [
-            one.change
-            for one in self.history
-            if (one.change.author, one.change.message) == (author, str(number))
+            snapshot.change
+            for snapshot in self.history
+            if (snapshot.change.author, snapshot.change.message) == (author, str(number))
         ]
 
 
@@ -146,33 +149,33 @@
 
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(seed=st.integers(0, 2**32))
-    def test_every_change_lands_once_or_not_at_all_and_is_reported_truly(self, seed: int) -> None:
-        world = World(seed=seed)
-        trio.run(world.run, clock=MockClock(autojump_threshold=0))
-        versions = [one.change.version for one in world.history]
+    def test_each_change_is_committed_at_most_once_and_reported_correctly(self, seed: int) -> None:
+        simulation = Simulation(seed=seed)
+        trio.run(simulation.run, clock=MockClock(autojump_threshold=0))
+        versions = [snapshot.change.version for snapshot in simulation.history]
         self.assertEqual(versions, list(range(1, len(versions) + 1)))
-        self.assertEqual(world.delivered, sorted(set(world.delivered)))
-        self.assertEqual(world.delivered[-1:], versions[-1:])
-        for attempt in world.attempts:
-            self.check_report(world, attempt)
-        self.check_no_lost_update(world)
-
-    def check_report(self, world: World, attempt: Attempt) -> None:
-        landed = world.find(attempt)
-        self.assertLessEqual(len(landed), 1)
+        self.assertEqual(simulation.delivered, sorted(set(simulation.delivered)))
+        self.assertEqual(simulation.delivered[-1:], versions[-1:])
+        for attempt in simulation.attempts:
+            self.check_reported_outcome(simulation, attempt)
+        self.check_no_lost_update(simulation)
+
+    def check_reported_outcome(self, simulation: Simulation, attempt: Attempt) -> None:
+        commits = simulation.find_commits(attempt)
+        self.assertLessEqual(len(commits), 1)
         error = attempt.outcome.err()
         if error is None:
-            self.assertEqual([attempt.outcome.unwrap().change], landed)
+            self.assertEqual([attempt.outcome.unwrap().change], commits)
         elif isinstance(error, ApplyConflict | PlatformUnavailable):
-            self.assertEqual(landed, [])
+            self.assertEqual(commits, [])
         else:
             self.assertIsInstance(error, OutcomeUnknown)
 
-    def check_no_lost_update(self, world: World) -> None:
-        attempts = {tuple(attempt.value): attempt for attempt in world.attempts}
+    def check_no_lost_update(self, simulation: Simulation) -> None:
+        attempts = {tuple(attempt.value): attempt for attempt in simulation.attempts}
         expected: dict[str, Any] = {}
         changed_at: dict[str, int] = {}
-        for snapshot in world.history:
+        for snapshot in simulation.history:
             change = snapshot.change
             attempt = attempts[change.author, int(change.message)]
             expected[attempt.key] = attempt.value
