--- a/src/wagtailpoint/config/store.py
+++ b/src/wagtailpoint/config/store.py
@@ -261,7 +261,7 @@
             current = await self._reader.read_at_head(outcome.err_value.current)
         return Err(
             PlatformUnavailable(
-                f"{_MAX_REBASES} concurrent changes were committed first; apply again"
+                f"the head had changed in each of {_MAX_REBASES} attempts; apply again"
             )
         )
 
--- a/src/wagtailpoint/ports/__init__.py
+++ b/src/wagtailpoint/ports/__init__.py
@@ -1,1 +1,1 @@
-"""What the decisions need from outside, as protocols; ``wagtailpoint.adapters`` implements them."""
+"""Protocols for the dependencies on the outside; ``wagtailpoint.adapters`` implements them."""
--- a/src/wagtailpoint/ports/backend.py
+++ b/src/wagtailpoint/ports/backend.py
@@ -1,4 +1,4 @@
-"""One exchange with a backend server, as the entry sees it."""
+"""Exchanges with backend servers: requests, responses, failures and load reports."""
 
 from collections.abc import AsyncIterator, Sequence
 from contextlib import AbstractAsyncContextManager
@@ -13,7 +13,7 @@
 
 
 class BackendAddress(NamedTuple):
-    """Where a backend server listens."""
+    """The address and port on which a backend server listens."""
 
     address: str
     port: int
@@ -23,21 +23,22 @@
 
 
 class BackendRequest(NamedTuple):
-    """A request on its way to a backend server.
+    """A request to a backend server.
 
     Attributes:
-        request_id: Sent as ``Wagtailpoint-Request-Id``; the backend server repeats it. Another one
-            for each exchange: a late answer to an earlier attempt must not pass for this one's.
-        method: For example ``GET``.
-        target: Path and query.
-        headers: End-to-end headers only.
-        body: The body as it arrives from the caller, or None when there is none.
-        deadline_s: Seconds left for the whole exchange until the response's headers; passed on,
-            reduced, as ``Wagtailpoint-Deadline-Ms``.
-        idempotent: A non-idempotent request only uses a connection that is unlikely to be closed
-            by the backend server just as the request leaves.
-        echoes_request_id: The backend server repeats the request id; a response without it is then
-            dropped. One with another id is always dropped.
+        request_id: Sent as ``Wagtailpoint-Request-Id`` and echoed by the backend server. Unique to
+            the exchange, so that a late response to an earlier attempt isn't taken for its
+            response.
+        method: The HTTP method, for example ``GET``.
+        target: The path and query.
+        headers: The end-to-end headers.
+        body: The body as it arrives from the caller; None if there is no body.
+        deadline_s: Seconds left until the response headers must have arrived; a reduced value is
+            sent as ``Wagtailpoint-Deadline-Ms``.
+        idempotent: Whether the request is idempotent. A non-idempotent request only uses a
+            connection that the backend server is unlikely to close while the request is sent.
+        echoes_request_id: Whether the backend server echoes the request id; if so, a response
+            without it is dropped. A response with another id is always dropped.
     """
 
     request_id: str
@@ -51,32 +52,33 @@
 
 
 class FailureReason(StrEnum):
-    """Why an exchange gave no usable response."""
+    """The reason why an exchange has no usable response."""
 
     CONNECT_REFUSED = "connect-refused"
     CONNECT_FAILED = "connect-failed"
     CONNECT_TIMEOUT = "connect-timeout"
     BAD_REQUEST = "bad-request"
-    """The request breaks HTTP, for example a body that differs from its Content-Length."""
+    """The request violates HTTP, for example by a body that differs from its Content-Length."""
     RESET = "reset"
-    """The connection ended before the whole response had come."""
+    """The connection was closed before the whole response had arrived."""
     TIMEOUT = "timeout"
     SHED = "shed"
     CROSSED_ANSWER = "crossed-answer"
     BAD_RESPONSE = "bad-response"
-    """What came breaks HTTP, or its end could not be told from a broken connection."""
+    """The response violates HTTP, or its end can't be told from a broken connection."""
 
 
 class BackendFailure(NamedTuple):
     """An exchange without a usable response.
 
     Attributes:
-        verdict: ``NOT_RUN`` only if no byte can have left, or the backend server itself said that
+        verdict: ``NOT_RUN`` only if no byte can have been sent, or the backend server reported that
             it shed the request without running it.
-        reason: One word for logs and metrics, a ``FailureReason``.
-        shed: The backend server said explicitly that it shed the request.
-        retry_after_s: When the backend server asked to come back, in seconds; None if not said.
-        draining: The backend server said that it is leaving.
+        reason: A ``FailureReason`` for logs and metrics.
+        shed: Whether the backend server explicitly reported that it shed the request.
+        retry_after_s: Delay in seconds after which the backend server asked for a retry; None if
+            not given.
+        draining: Whether the backend server reported that it is draining.
     """
 
     verdict: Verdict
@@ -90,10 +92,10 @@
     """A response whose headers have arrived.
 
     Attributes:
-        status: HTTP status.
-        headers: End-to-end headers.
-        body: The body in chunks. Raises ``BodyBroken`` when it ends before what was promised, so
-            that the caller is never given a short body that looks whole.
+        status: The HTTP status.
+        headers: The end-to-end headers.
+        body: The body in chunks. Raises ``BodyBroken`` if it ends prematurely, so that the caller
+            never receives a truncated body that looks complete.
     """
 
     status: int
@@ -102,18 +104,18 @@
 
 
 class BodyBroken(Exception):
-    """A response body that ended before its promised end."""
+    """A response body that ended before its declared end."""
 
 
 class LoadReport(NamedTuple):
-    """What a backend server says of itself. A hint: it lags and may mislead.
+    """The load that a backend server reports. It is only a hint, as it lags and may be wrong.
 
     Attributes:
-        busy: Slots in use.
-        queued: Requests waiting for a slot.
-        slots: Slots in all.
-        draining: The backend server is leaving.
-        warm: False while caches are cold.
+        busy: Number of slots in use.
+        queued: Number of requests that wait for a slot.
+        slots: Total number of slots.
+        draining: Whether the backend server is draining.
+        warm: Whether its caches are warm.
     """
 
     busy: int
@@ -124,32 +126,31 @@
 
 
 class Backends(Protocol):
-    """The connections to all backend servers."""
+    """Sends requests to backend servers and manages the connections to them."""
 
     def exchange(
         self, server: BackendAddress, request: BackendRequest
     ) -> AbstractAsyncContextManager[Result[BackendResponse, BackendFailure]]:
-        """Send one request to one backend server, without any retry.
+        """Send one request to one backend server, without retries.
 
-        Leaving the context early, or cancellation, closes the connection: it never goes back to
-        the pool with an unread response on it. Whoever cancels it must take the request as one
-        that may have run. An exception of ``request.body`` passes through; it too leaves a request
-        that may have run.
+        Leaving the context early or cancelling it closes the connection, so that a connection with
+        an unread response never returns to the pool. After a cancellation, or an exception from
+        ``request.body`` (which is propagated), the request may have run.
         """
         ...
 
     async def probe(
         self, server: BackendAddress, *, timeout_s: float, path: str = "/load"
     ) -> Result[LoadReport, BackendFailure]:
-        """Ask a backend server for its health and load.
+        """Request a backend server's load report.
 
         Args:
             server: The backend server.
-            timeout_s: The longest wait for the whole answer, in seconds.
+            timeout_s: Maximum time until the whole report has arrived, in seconds.
             path: The service's ``report_path``.
         """
         ...
 
     async def close(self, server: BackendAddress) -> None:
-        """Close idle connections to a backend server that left the configuration."""
+        """Close idle connections to a backend server that was removed from the configuration."""
         ...
--- a/src/wagtailpoint/ports/clock.py
+++ b/src/wagtailpoint/ports/clock.py
@@ -1,4 +1,4 @@
-"""Clocks. Decisions never read the time by themselves, so that tests can move it."""
+"""Clocks, which are passed to all code that depends on the time, so that tests control it."""
 
 from typing import Protocol
 
@@ -7,13 +7,13 @@
     """The clocks of one instance."""
 
     def monotonic(self) -> float:
-        """Seconds that count on while the machine is suspended (CLOCK_BOOTTIME), never backwards.
+        """Return monotonic seconds that include time spent in suspension (CLOCK_BOOTTIME).
 
-        Leases are measured with it: with a clock that stops during suspension a holder that was
-        frozen past its lease would wake and believe that it still holds it.
+        Leases are measured with it. With a clock that stops during suspension, a holder that was
+        suspended past the end of its lease would believe that it still holds it.
         """
         ...
 
     def wall(self) -> float:
-        """Seconds since the epoch; only for people and for the hybrid logical clock."""
+        """Return seconds since the epoch; only for display and for the hybrid logical clock."""
         ...
--- a/src/wagtailpoint/ports/peers.py
+++ b/src/wagtailpoint/ports/peers.py
@@ -1,4 +1,4 @@
-"""Messages between instances: small, one-way, never blocking the sender."""
+"""Messages between instances, which are small, one-way and never block the sender."""
 
 from collections.abc import Callable, Mapping
 from enum import Enum
@@ -9,12 +9,12 @@
 from wagtailpoint.observe.hlc import Stamp
 
 Message = tuple[Any, ...]
-"""A message: an instance of a ``NamedTuple`` that was given to ``register_message``."""
+"""An instance of a ``NamedTuple`` that was registered with ``register_message``."""
 
 MessageType = TypeVar("MessageType", bound=Message)
 
 ANY_INCARNATION = 0
-"""Addresses whichever process listens there, when its incarnation is not known yet."""
+"""Addresses any process that listens at an address; used while its incarnation is unknown."""
 
 MOST_MESSAGE_BYTES = 1 << 20
 
@@ -23,41 +23,43 @@
 
 
 def register_message(kind: str, message_type: type[MessageType]) -> type[MessageType]:
-    """Give a type of message its name on the wire.
+    """Register a message type under its name on the wire.
 
-    A message whose fields change gets a new kind: while instances are replaced, both versions run,
-    and a kind that is not known is ignored, but a field misread would be acted upon.
+    A message whose fields change needs a new kind. During a rolling update both versions run, and
+    an unknown kind is ignored, whereas misread fields would be acted upon.
 
     Raises:
-        ValueError: The kind or the type was registered before, as something else.
+        ValueError: The kind or the type is already registered with another counterpart.
     """
     if _type_by_kind.get(kind, message_type) is not message_type:
-        raise ValueError(f"given kind {kind!r} twice, expected one message type for each kind")
+        raise ValueError(f"kind {kind!r}: given a second type, expected one message type")
     if _kind_by_type.get(message_type, kind) != kind:
-        raise ValueError(f"given {message_type.__name__} twice, expected one kind for each type")
+        raise ValueError(
+            f"message type {message_type.__name__}: given a second kind, expected one kind"
+        )
     _type_by_kind[kind] = message_type
     _kind_by_type[message_type] = kind
     return message_type
 
 
 def kind_of(message_type: type[Message]) -> str:
-    """Return the kind of a type of message; KeyError if it was never registered."""
+    """Return the kind of a message type; raises KeyError if it isn't registered."""
     return _kind_by_type[message_type]
 
 
 def type_of(kind: str) -> type[Message] | None:
-    """Return the type for a kind; None if this version does not know it."""
+    """Return the message type of a kind; None if this version doesn't know the kind."""
     return _type_by_kind.get(kind)
 
 
 class PeerAddress(NamedTuple):
-    """Where an instance hears its peers.
+    """The address at which an instance receives messages from peers.
 
     Attributes:
-        address: IP number.
-        port: Its peer port.
-        incarnation: The process meant; a message buffered through a freeze or a restart reaches
-            another process at the same address and is then dropped there.
+        address: The IP number.
+        port: The peer port.
+        incarnation: The incarnation of the process addressed. A message that was buffered during a
+            freeze or a restart may reach another process at the same address, which drops it.
     """
 
     address: str
@@ -69,12 +71,12 @@
 
 
 class Received(NamedTuple):
-    """A message that arrived.
+    """A received message.
 
     Attributes:
-        sender: Who sent it, with the sender's incarnation.
-        stamp: When it was sent, by the sender's hybrid logical clock.
-        number: What a reply has to name; 0 if none is awaited.
+        sender: The address and incarnation of the sender.
+        stamp: The time of sending by the sender's hybrid logical clock.
+        number: The request number that a reply must carry; 0 if no reply is expected.
         message: The message.
     """
 
@@ -85,25 +87,25 @@
 
 
 class PeerFailure(Enum):
-    """Why a request to a peer has no reply."""
+    """The reason why a request to a peer has no reply."""
 
     TIMEOUT = "timeout"
     NOT_SENT = "not-sent"
 
 
 class Traffic(NamedTuple):
-    """What went over the links in one direction, of one kind."""
+    """Messages and bytes of one kind that went over the links in one direction."""
 
     messages: int
     bytes: int
 
 
 class PeerCounts(NamedTuple):
-    """What went over the links since the start.
+    """The traffic over the links since the process started.
 
     Attributes:
-        sent: By kind.
-        received: By kind.
+        sent: The traffic sent, by kind.
+        received: The traffic received, by kind.
         dropped: Messages that never reached a handler, by reason: ``link-full``, ``too-large``,
             ``undecodable``, ``unknown-kind``, ``other-incarnation``, ``no-handler``,
             ``late-reply``, ``handler-failed``.
@@ -115,36 +117,36 @@
 
 
 Handler = Callable[[Received], Message | None]
-"""Takes a message and returns the reply, if any. It must not block; what takes longer is given to
-a task, which calls ``Peers.reply`` when it is done."""
+"""Handles a message and returns the reply, if any. It must not block: longer work is started as a
+task, which calls ``Peers.reply`` at its end."""
 
 
 class Peers(Protocol):
-    """The links to the other instances."""
+    """Sends messages to the other instances and receives theirs."""
 
     @property
     def address(self) -> PeerAddress:
-        """Where this instance hears its peers, with its own incarnation."""
+        """The peer address of this instance, with its incarnation."""
         ...
 
     @property
     def counts(self) -> PeerCounts:
-        """What went over the links since the start."""
+        """The traffic over the links since the process started."""
         ...
 
     def handle(self, message_type: type[Message], handler: Handler) -> None:
-        """Call ``handler`` for every message of a type."""
+        """Register the handler of all messages of a type."""
         ...
 
     def send(self, to: PeerAddress, message: Message) -> bool:
-        """Send a message and return at once; False if it was dropped here.
+        """Send a message without waiting; return False if it was dropped by the sender.
 
-        True says only that it was handed to the link.
+        True only means that the message was handed to the link.
         """
         ...
 
     def reply(self, received: Received, message: Message) -> bool:
-        """Answer a request, later than its handler's return."""
+        """Reply to a request after its handler has returned."""
         ...
 
     async def request(
@@ -154,5 +156,5 @@
         ...
 
     async def run(self) -> None:
-        """Receive until cancelled."""
+        """Receive messages until cancelled."""
         ...
--- a/src/wagtailpoint/ports/platform.py
+++ b/src/wagtailpoint/ports/platform.py
@@ -1,4 +1,4 @@
-"""The platform's object API as wagtailpoint sees it: versions, conditional updates, watches."""
+"""The platform's object API: versioned objects, conditional writes and watches."""
 
 from collections.abc import Sequence
 from typing import Any, Literal, NamedTuple, Protocol
@@ -12,12 +12,12 @@
 
 
 class StoredObject(NamedTuple):
-    """One object of the platform.
+    """An object of the platform.
 
     Attributes:
         kind: The kind, for example ``config-head``.
         name: The name, unique within the kind.
-        version: The store-wide number of the write that made this content; never 0.
+        version: The store-wide number of the write that created this content; never 0.
         value: Any JSON value under one megabyte.
     """
 
@@ -28,21 +28,21 @@
 
 
 class Conflict(NamedTuple):
-    """A conditional write that was refused: the object is not at the version it expected.
+    """A conditional write that was refused because the object has another version.
 
     Attributes:
-        current: The object as it is now, or None if it does not exist.
+        current: The current object; None if it doesn't exist.
     """
 
     current: StoredObject | None
 
 
 class WatchEvent(NamedTuple):
-    """One change seen by a watch.
+    """A change reported by a watch.
 
     Attributes:
-        action: What happened; for a ``delete`` the stored object carries the last value.
-        stored: The object after a ``put``.
+        action: The kind of change.
+        stored: The object after a ``put``, or with its last value after a ``delete``.
     """
 
     action: Literal["put", "delete"]
@@ -50,11 +50,11 @@
 
 
 class WatchBatch(NamedTuple):
-    """What one waiting watch answered.
+    """The answer to one watch call.
 
     Attributes:
-        version: Watch again from here.
-        events: The changes in order, empty when the wait passed without any.
+        version: The version from which to continue the watch.
+        events: The changes in order; empty if there were none within the wait.
     """
 
     version: int
@@ -65,7 +65,7 @@
     """All objects of a kind.
 
     Attributes:
-        version: Store-wide version at which the listing was made; watch from here.
+        version: The store-wide version of the listing, from which to start a watch.
         objects: The objects, by name.
     """
 
@@ -77,10 +77,10 @@
     """The objects of a kind in a range of names.
 
     Attributes:
-        version: Store-wide version at which the page was made.
+        version: The store-wide version of the page.
         objects: The objects, by name.
-        after: The names in the range are greater than this.
-        last: The greatest name in the range; None if it has no end.
+        after: The exclusive lower bound of the range of names.
+        last: The inclusive upper bound of the range; None if it is unbounded.
     """
 
     version: int
@@ -89,12 +89,12 @@
     last: str | None
 
     def covers(self, name: str) -> bool:
-        """Whether an object of that name would be on the page."""
+        """Return whether a name is in the page's range."""
         return name > self.after and (self.last is None or name <= self.last)
 
 
 class ListedInstance(NamedTuple):
-    """One line of the platform's list of instances. The list lags: it is a hint."""
+    """An entry of the platform's list of instances, which lags and is only a hint."""
 
     address: str
     failure_domain: str
@@ -102,12 +102,12 @@
 
 
 class Platform(Protocol):
-    """The object API. Every call may fail, and a write may fail after it has taken effect."""
+    """The object API. Any call may fail, and a write may fail after it has taken effect."""
 
     async def get(
         self, *, kind: str, name: str
     ) -> Result[StoredObject | None, PlatformUnavailable]:
-        """Read one object; None if there is none."""
+        """Read an object; None if it doesn't exist."""
         ...
 
     async def list(
@@ -117,21 +117,21 @@
 
         Args:
             kind: The kind.
-            may_be_stale: A state of some seconds ago will do, if the store has one that costs less.
-                The listing's version is that of the state: a watch from there tells the rest.
+            may_be_stale: Whether to accept a cheaper listing that is a few seconds old, if the
+                store has one. A watch from the listing's version returns all later changes.
         """
         ...
 
     async def put(
         self, *, kind: str, name: str, value: Any, if_version: int
     ) -> Result[StoredObject, Conflict | OutcomeUnknown | PlatformUnavailable]:
-        """Write an object if it is at ``if_version`` (``ABSENT``: if it does not exist)."""
+        """Write an object if its version is ``if_version`` (``ABSENT``: if it doesn't exist)."""
         ...
 
     async def delete(
         self, *, kind: str, name: str, if_version: int
     ) -> Result[None, Conflict | OutcomeUnknown | PlatformUnavailable]:
-        """Delete an object if it is at ``if_version``."""
+        """Delete an object if its version is ``if_version``."""
         ...
 
     async def watch(
