--- a/src/wagtailpoint/observe/bounded_sink.py
+++ b/src/wagtailpoint/observe/bounded_sink.py
@@ -15,12 +15,12 @@
 REPORT_INTERVAL_S: Final = 1.0
 
 
-class _Allowance:
+class _LineBudget:
     """How many lines of one event may be written."""
 
     def __init__(self, now: float) -> None:
         self.lines = BURST_LINES
-        self.at = now
+        self.updated_at = now
         self.dropped = 0
 
 
@@ -35,7 +35,7 @@
                 and with it every request of the process.
         """
         self._stream = stream
-        self._allowances: dict[str, _Allowance] = {}
+        self._budgets: dict[str, _LineBudget] = {}
         self._reported_at = 0.0
         self._blocked = 0
 
@@ -43,28 +43,28 @@
         """Write one line; loguru's interface."""
         event = message.record["message"]
         now = time.monotonic()
-        allowance = self._allowances.get(event)
-        if allowance is None:
-            allowance = self._allowances[event] = _Allowance(now)
-        allowance.lines = min(BURST_LINES, allowance.lines + LINES_PER_S * (now - allowance.at))
-        allowance.at = now
-        if allowance.lines < 1.0:
-            allowance.dropped += 1
+        budget = self._budgets.get(event)
+        if budget is None:
+            budget = self._budgets[event] = _LineBudget(now)
+        budget.lines = min(BURST_LINES, budget.lines + LINES_PER_S * (now - budget.updated_at))
+        budget.updated_at = now
+        if budget.lines < 1.0:
+            budget.dropped += 1
             return
-        allowance.lines -= 1.0
+        budget.lines -= 1.0
         if now - self._reported_at > REPORT_INTERVAL_S:
             self._reported_at = now
             self._report()
         self._write(str(message))
 
     def _report(self) -> None:
-        dropped = {name: each.dropped for name, each in self._allowances.items() if each.dropped}
+        dropped = {name: budget.dropped for name, budget in self._budgets.items() if budget.dropped}
         if not dropped and not self._blocked:
             return
         pairs = " ".join(f"{name}={number}" for name, number in dropped.items())
         blocked, self._blocked = self._blocked, 0
-        for each in self._allowances.values():
-            each.dropped = 0
+        for budget in self._budgets.values():
+            budget.dropped = 0
         self._write(f"level=WARNING event=log-lines-dropped blocked={blocked} {pairs}\n")
 
     def _write(self, line: str) -> None:
--- a/src/wagtailpoint/observe/hlc.py
+++ b/src/wagtailpoint/observe/hlc.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-MOST_AHEAD_MS = 60_000
-_TEXT = re.compile(r"(\d{13,})\.(\d{6,})")
+MAX_AHEAD_MS = 60_000
+_STAMP_PATTERN = re.compile(r"(\d{13,})\.(\d{6,})")
 
 
 class Stamp(NamedTuple):
@@ -32,7 +32,7 @@
     Raises:
         ValueError: The text is not that of a stamp.
     """
-    match = _TEXT.fullmatch(text)
+    match = _STAMP_PATTERN.fullmatch(text)
     if match is None:
         raise ValueError(f"given {text!r}, expected a stamp such as {Stamp(1700000000000, 3)}")
     return Stamp(int(match[1]), int(match[2]))
@@ -64,5 +64,5 @@
         A stamp more than a minute ahead is ignored: one instance with a wrong wall clock would
         otherwise drag the time line of all instances into the future, and for good.
         """
-        if other > self._last and other.wall_ms <= self._wall() * 1000 + MOST_AHEAD_MS:
+        if other > self._last and other.wall_ms <= self._wall() * 1000 + MAX_AHEAD_MS:
             self._last = Stamp(*other)
--- a/src/wagtailpoint/observe/log.py
+++ b/src/wagtailpoint/observe/log.py
@@ -8,13 +8,13 @@
 
 from wagtailpoint.observe.bounded_sink import BoundedSink
 
-_PLAIN = re.compile(r"[!#-<>-~]+")
+_UNQUOTED_VALUE = re.compile(r"[!#-<>-~]+")
 """Values that need no quotes: printable ASCII without space, quote and equals sign."""
 
 
-def _quoted(value: Any) -> str:
+def _quote(value: Any) -> str:
     text = str(value)
-    if _PLAIN.fullmatch(text):
+    if _UNQUOTED_VALUE.fullmatch(text):
         return text
     # Whoever could put a line break into a value could forge a line of the log.
     escaped = "".join(
@@ -24,8 +24,8 @@
     return f'"{escaped}"'
 
 
-def _format(record: Any) -> str:
-    pairs = " ".join(f"{name}={_quoted(value)}" for name, value in record["extra"].items())
+def _format_record(record: Any) -> str:
+    pairs = " ".join(f"{name}={_quote(value)}" for name, value in record["extra"].items())
     record["extra"]["_line"] = pairs
     # A line that was written without `log_event` may have its event in the message.
     event = "" if record["message"].startswith("event=") else "event="
@@ -44,7 +44,11 @@
     logger.remove()
     logger.configure(extra=common)
     logger.add(
-        BoundedSink(stream=sys.stdout), level=level, format=_format, backtrace=False, diagnose=False
+        BoundedSink(stream=sys.stdout),
+        level=level,
+        format=_format_record,
+        backtrace=False,
+        diagnose=False,
     )
 
 
--- a/src/wagtailpoint/observe/log_lines.py
+++ b/src/wagtailpoint/observe/log_lines.py
@@ -12,12 +12,12 @@
     Whatever stands before the first pair, such as the prefix of a log collector, is ignored.
     """
     for line in lines:
-        pairs = {name: _unquoted(value) for name, value in _PAIR.findall(line)}
+        pairs = {name: _unquote(value) for name, value in _PAIR.findall(line)}
         if "event" in pairs:
             yield pairs
 
 
-def _unquoted(value: str) -> str:
+def _unquote(value: str) -> str:
     if not value.startswith('"'):
         return value
     return re.sub(r"\\(.)", r"\1", value[1:-1])
--- a/src/wagtailpoint/observe/metrics.py
+++ b/src/wagtailpoint/observe/metrics.py
@@ -6,9 +6,9 @@
 
 from hdrh.histogram import HdrHistogram
 
-LOWEST_US = 1
-HIGHEST_US = 3_600_000_000
-DIGITS = 2
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 3_600_000_000
+SIGNIFICANT_DIGITS = 2
 COUNTER_BYTES = 4
 PERCENTILES = [50.0, 90.0, 99.0, 99.9]
 
@@ -51,11 +51,13 @@
     """The latencies of one key."""
 
     def __init__(self) -> None:
-        self.histogram = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS, word_size=COUNTER_BYTES)
+        self.histogram = HdrHistogram(
+            MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS, word_size=COUNTER_BYTES
+        )
         self.sum_us = 0
 
     def record(self, latency_s: float) -> None:
-        latency_us = min(HIGHEST_US, max(LOWEST_US, int(latency_s * 1e6)))
+        latency_us = min(MAX_LATENCY_US, max(MIN_LATENCY_US, int(latency_s * 1e6)))
         self.histogram.record_value(latency_us)
         self.sum_us += latency_us
 
@@ -65,7 +67,9 @@
         return LatencySummary(
             count=self.histogram.get_total_count(),
             sum_ms=self.sum_us / 1000,
-            percentiles_ms={f"p{each:g}": value / 1000 for each, value in values.items()},
+            percentiles_ms={
+                f"p{percentile:g}": value / 1000 for percentile, value in values.items()
+            },
         )
 
 
@@ -89,7 +93,7 @@
         """Record one latency, in seconds."""
         latencies = self._latencies.get(key)
         if latencies is None:
-            latencies = self._first_of(key)
+            latencies = self._create_latencies(key)
         latencies.record(latency_s)
 
     def latencies(self) -> Iterator[tuple[LatencyKey, LatencySummary]]:
@@ -97,7 +101,7 @@
         for key, latencies in list(self._latencies.items()):
             yield key, latencies.summary()
 
-    def _first_of(self, key: LatencyKey) -> _Latencies:
+    def _create_latencies(self, key: LatencyKey) -> _Latencies:
         if len(self._latencies) >= MOST_HISTOGRAMS:
             key = LatencyKey(key.measure, *[OTHER if part else "" for part in key[1:]])
         return self._latencies.setdefault(key, _Latencies())
--- a/src/wagtailpoint/observe/version_history.py
+++ b/src/wagtailpoint/observe/version_history.py
@@ -50,32 +50,32 @@
         self._current: dict[str, InstanceVersion] = {}
         self._times: dict[int, list[tuple[datetime, str]]] = {}
         for line in lines:
-            self._note(line)
+            self._record_line(line)
 
     @property
     def versions(self) -> Sequence[VersionSpread]:
         """All versions, the oldest first."""
-        return [_spread(version, times) for version, times in sorted(self._times.items())]
+        return [_measure_spread(version, times) for version, times in sorted(self._times.items())]
 
     @property
     def instances(self) -> Sequence[InstanceVersion]:
         """All instances by name."""
         return [self._current[name] for name in sorted(self._current)]
 
-    def _note(self, line: Mapping[str, str]) -> None:
+    def _record_line(self, line: Mapping[str, str]) -> None:
         event, instance, time = line["event"], line.get("instance"), line.get("time")
         if event not in ("started", "config-in-force") or instance is None or time is None:
             return
-        at = datetime.fromisoformat(time)
+        timestamp = datetime.fromisoformat(time)
         if event == "started":
-            self._current[instance] = InstanceVersion(instance, None, at)
+            self._current[instance] = InstanceVersion(instance, None, timestamp)
             return
         version = int(line["version"])
-        self._current[instance] = InstanceVersion(instance, version, at)
-        self._times.setdefault(version, []).append((at, instance))
+        self._current[instance] = InstanceVersion(instance, version, timestamp)
+        self._times.setdefault(version, []).append((timestamp, instance))
 
 
-def _spread(version: int, times: Sequence[tuple[datetime, str]]) -> VersionSpread:
+def _measure_spread(version: int, times: Sequence[tuple[datetime, str]]) -> VersionSpread:
     first, _ = min(times)
     last, instance = max(times)
     return VersionSpread(version, first, last, instance, len(times))
