--- a/src/wagtailpoint/observe/__init__.py
+++ b/src/wagtailpoint/observe/__init__.py
@@ -1,1 +1,1 @@
-"""What operators see: log lines, metrics, and the time line of all processes with its clock."""
+"""Observability: log lines, metrics, and the timeline of all processes with its clock."""
--- a/src/wagtailpoint/observe/bounded_sink.py
+++ b/src/wagtailpoint/observe/bounded_sink.py
@@ -1,22 +1,22 @@
-"""Where log lines go: a stream that is never waited for, with a bound for each event."""
+"""A log sink that never blocks and limits the rate of lines of each event."""
 
 import select
 import time
 from typing import Any, Final, TextIO
 
 LINES_PER_S: Final = 300.0
-"""Of one event. An instance serves about 60 requests a second; more lines than that say little new
-while each costs about 0.1 ms of processor time."""
+"""Rate limit of one event. An instance serves about 60 requests per second; more lines than this
+add little information, and each costs about 0.1 ms of processor time."""
 
 BURST_LINES: Final = 600.0
 ATOMIC_BYTES: Final = 4096
-"""A pipe that is ready takes so much without blocking (PIPE_BUF)."""
+"""Bytes that a pipe that is ready accepts without blocking (PIPE_BUF)."""
 
 REPORT_INTERVAL_S: Final = 1.0
 
 
 class _LineBudget:
-    """How many lines of one event may be written."""
+    """The token bucket of one event's lines."""
 
     def __init__(self, now: float) -> None:
         self.lines = BURST_LINES
@@ -25,14 +25,14 @@
 
 
 class BoundedSink:
-    """Writes lines to a stream; drops what is too much or would block, and says how much."""
+    """Writes lines to a stream; drops and counts lines that exceed the limit or would block."""
 
     def __init__(self, *, stream: TextIO) -> None:
-        """Make it.
+        """Initialise the sink.
 
         Args:
-            stream: Usually standard output, where a reader that stops would block a plain write,
-                and with it every request of the process.
+            stream: The stream, usually standard output. If its reader stops reading, a blocking
+                write would block all requests of the process.
         """
         self._stream = stream
         self._budgets: dict[str, _LineBudget] = {}
@@ -40,7 +40,7 @@
         self._blocked = 0
 
     def __call__(self, message: Any) -> None:
-        """Write one line; loguru's interface."""
+        """Write one line; called by loguru."""
         event = message.record["message"]
         now = time.monotonic()
         budget = self._budgets.get(event)
@@ -78,5 +78,5 @@
         try:
             number = self._stream.fileno()
         except OSError:
-            return True  # A stream in memory.
+            return True  # An in-memory stream never blocks.
         return bool(select.select([], [number], [], 0)[1])
--- a/src/wagtailpoint/observe/hlc.py
+++ b/src/wagtailpoint/observe/hlc.py
@@ -1,4 +1,4 @@
-"""A hybrid logical clock: wall time for people, order of cause and effect for the time line."""
+"""A hybrid logical clock, which combines wall time with the causal order of events."""
 
 import re
 from collections.abc import Callable
@@ -9,11 +9,11 @@
 
 
 class Stamp(NamedTuple):
-    """A reading of a hybrid logical clock; sorts in the order of cause and effect.
+    """A reading of a hybrid logical clock; sorts in causal order.
 
     Attributes:
-        wall_ms: Milliseconds since the epoch, of the furthest clock heard of so far.
-        tick: Readings within the same millisecond.
+        wall_ms: Milliseconds since the epoch by the most advanced clock seen so far.
+        tick: A counter that orders readings with the same ``wall_ms``.
     """
 
     wall_ms: int
@@ -27,10 +27,10 @@
 
 
 def parse_stamp(text: str) -> Stamp:
-    """Read the text form back.
+    """Parse the text form of a stamp.
 
     Raises:
-        ValueError: The text is not that of a stamp.
+        ValueError: The text isn't a stamp.
     """
     match = _STAMP_PATTERN.fullmatch(text)
     if match is None:
@@ -39,10 +39,10 @@
 
 
 class HybridClock:
-    """Stamps events so that an effect always sorts after its cause, also across processes.
+    """Stamps events so that an effect sorts after its cause, within and across processes.
 
     Args:
-        wall: Reads the wall clock, in seconds since the epoch.
+        wall: Returns the wall-clock time in seconds since the epoch.
     """
 
     def __init__(self, *, wall: Callable[[], float]) -> None:
@@ -50,7 +50,7 @@
         self._last = ZERO
 
     def now(self) -> Stamp:
-        """Return a stamp later than every one returned or merged before."""
+        """Return a stamp later than all stamps returned or merged before."""
         wall_ms = int(self._wall() * 1000)
         if wall_ms > self._last.wall_ms:
             self._last = Stamp(wall_ms, 0)
@@ -59,10 +59,10 @@
         return self._last
 
     def merge(self, other: Stamp) -> None:
-        """Take note of a stamp that came with a message.
+        """Advance the clock to the stamp of a received message.
 
-        A stamp more than a minute ahead is ignored: one instance with a wrong wall clock would
-        otherwise drag the time line of all instances into the future, and for good.
+        A stamp more than a minute ahead is ignored: otherwise one instance with a wrong wall clock
+        would permanently advance the clocks of all instances.
         """
         if other > self._last and other.wall_ms <= self._wall() * 1000 + MAX_AHEAD_MS:
             self._last = Stamp(*other)
--- a/src/wagtailpoint/observe/log.py
+++ b/src/wagtailpoint/observe/log.py
@@ -1,4 +1,4 @@
-"""Logs: one line of key=value pairs for each event."""
+"""Writes log lines: one line of key=value pairs per event."""
 
 import re
 import sys
@@ -9,14 +9,14 @@
 from wagtailpoint.observe.bounded_sink import BoundedSink
 
 _UNQUOTED_VALUE = re.compile(r"[!#-<>-~]+")
-"""Values that need no quotes: printable ASCII without space, quote and equals sign."""
+"""Values without quotes: printable ASCII except space, quote and equals sign."""
 
 
 def _quote(value: Any) -> str:
     text = str(value)
     if _UNQUOTED_VALUE.fullmatch(text):
         return text
-    # Whoever could put a line break into a value could forge a line of the log.
+    # Escape line breaks, with which a value could otherwise forge a log line.
     escaped = "".join(
         character if character.isprintable() else character.encode("unicode_escape").decode()
         for character in text.replace("\\", "\\\\").replace('"', '\\"')
@@ -27,7 +27,7 @@
 def _format_record(record: Any) -> str:
     pairs = " ".join(f"{name}={_quote(value)}" for name, value in record["extra"].items())
     record["extra"]["_line"] = pairs
-    # A line that was written without `log_event` may have its event in the message.
+    # The message of a line written without `log_event` may already start with its event.
     event = "" if record["message"].startswith("event=") else "event="
     return (
         "time={time:YYYY-MM-DDTHH:mm:ss.SSSZ} level={level} " + event + "{message} {extra[_line]}\n"
@@ -35,11 +35,11 @@
 
 
 def configure_log(*, level: str, **common: Any) -> None:
-    """Send all log lines to the standard output stream, without ever waiting for it.
+    """Write all log lines to standard output without blocking.
 
     Args:
         level: The lowest level that is written, for example ``INFO``.
-        **common: Pairs that every line carries, for example the instance's address.
+        **common: Pairs that are added to every line, for example the instance's address.
     """
     logger.remove()
     logger.configure(extra=common)
@@ -53,12 +53,12 @@
 
 
 def log_event(event: str, *, level: str = "INFO", **fields: Any) -> None:
-    """Write one event.
+    """Log one event.
 
     Args:
-        event: A fixed name, for example ``config-in-force``; operators search for it.
+        event: A fixed name that operators search for, for example ``config-in-force``.
         level: The level.
-        **fields: What is particular to this event.
+        **fields: The pairs of this line.
     """
-    # `depth`: the line belongs to the caller's module, by which loguru can silence lines.
+    # `depth=1` attributes the line to the calling module, by which loguru filters lines.
     logger.opt(depth=1).bind(**fields).log(level, event)
--- a/src/wagtailpoint/observe/log_lines.py
+++ b/src/wagtailpoint/observe/log_lines.py
@@ -1,4 +1,4 @@
-"""Reads log lines back: one line of key=value pairs for each event."""
+"""Parses log lines: one line of key=value pairs per event."""
 
 import re
 from collections.abc import Iterable, Iterator, Mapping
@@ -7,9 +7,9 @@
 
 
 def read_log_lines(lines: Iterable[str]) -> Iterator[Mapping[str, str]]:
-    """Yield the pairs of each line that tells an event, passing over all other lines.
+    """Yield the pairs of each line that has an event; skip all other lines.
 
-    Whatever stands before the first pair, such as the prefix of a log collector, is ignored.
+    Text before the first pair, such as the prefix of a log collector, is ignored.
     """
     for line in lines:
         pairs = {name: _unquote(value) for name, value in _PAIR.findall(line)}
--- a/src/wagtailpoint/observe/metrics.py
+++ b/src/wagtailpoint/observe/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of one instance: counts, and latency percentiles by hdrhistogram."""
+"""Metrics of one instance: counts and latency percentiles (HdrHistogram)."""
 
 from collections import Counter
 from collections.abc import Iterator, Mapping
@@ -13,22 +13,23 @@
 PERCENTILES = [50.0, 90.0, 99.0, 99.9]
 
 MOST_HISTOGRAMS = 400
-"""A histogram takes about 14 KB. Beyond so many of them, what comes new is put together under
-``OTHER``: an instance with thousands of workspaces would otherwise fill its memory with metrics."""
+"""A histogram takes about 14 KB. Beyond this number, new keys are aggregated under ``OTHER``, so
+that metrics don't fill the memory of an instance with thousands of workspaces."""
 
 OTHER = "other"
 
 
 class LatencyKey(NamedTuple):
-    """What a latency is measured by; a part that does not apply is empty.
+    """The labels of a latency; a label that doesn't apply is empty.
 
     Attributes:
-        measure: ``request`` until the end of the reply, ``backend`` until the response's headers.
+        measure: ``request`` (until the end of the reply) or ``backend`` (until the response
+            headers).
         workspace: The workspace.
-        request_class: The class.
+        request_class: The request class.
         backend_server: The backend server.
-        verdict: What the caller was told.
-        code: The refusal's code, ``ok`` for an answer.
+        verdict: The verdict returned to the caller.
+        code: The code of the refusal; ``ok`` for a response.
     """
 
     measure: str
@@ -40,7 +41,7 @@
 
 
 class LatencySummary(TypedDict):
-    """Latencies of one key; the percentiles are named as in ``p99.9``."""
+    """The latencies of one key; percentiles are named like ``p99.9``."""
 
     count: int
     sum_ms: float
@@ -48,7 +49,7 @@
 
 
 class _Latencies:
-    """The latencies of one key."""
+    """The histogram and the sum of the latencies of one key."""
 
     def __init__(self) -> None:
         self.histogram = HdrHistogram(
@@ -62,7 +63,7 @@
         self.sum_us += latency_us
 
     def summary(self) -> LatencySummary:
-        # All of them in one pass over the histogram.
+        # Computes all percentiles in one pass over the histogram.
         values = self.histogram.get_percentile_to_value_dict(PERCENTILES)
         return LatencySummary(
             count=self.histogram.get_total_count(),
@@ -86,7 +87,7 @@
         return self._counts
 
     def count(self, name: str, number: int = 1) -> None:
-        """Add to a count; the name carries its labels, as in ``verdict.ran``."""
+        """Add to a count; its name includes its labels, for example ``verdict.ran``."""
         self._counts[name] += number
 
     def record_latency(self, key: LatencyKey, latency_s: float) -> None:
@@ -97,7 +98,7 @@
         latencies.record(latency_s)
 
     def latencies(self) -> Iterator[tuple[LatencyKey, LatencySummary]]:
-        """Every latency that was measured, with its percentiles; each takes about 0.5 ms."""
+        """Yield each key with its latency summary, which takes about 0.5 ms to compute."""
         for key, latencies in list(self._latencies.items()):
             yield key, latencies.summary()
 
--- a/src/wagtailpoint/observe/prometheus.py
+++ b/src/wagtailpoint/observe/prometheus.py
@@ -1,4 +1,4 @@
-"""Metrics in the text format of Prometheus, version 0.0.4."""
+"""Metrics in the Prometheus text format, version 0.0.4."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from typing import NamedTuple
@@ -9,12 +9,12 @@
 
 
 class Sample(NamedTuple):
-    """One value.
+    """One value of a metric family.
 
     Attributes:
-        labels: What it is measured by.
+        labels: The labels, by name.
         value: The value.
-        suffix: Added to the family's name: ``_count`` and ``_sum`` of a summary.
+        suffix: Appended to the family's name; ``_count`` or ``_sum`` in a summary.
     """
 
     labels: Mapping[str, str]
@@ -23,13 +23,13 @@
 
 
 class Family(NamedTuple):
-    """All values of one name.
+    """A metric family: all samples of one name.
 
     Attributes:
-        name: For example ``wagtailpoint_open_requests``.
+        name: The name, for example ``wagtailpoint_open_requests``.
         kind: ``counter``, ``gauge`` or ``summary``.
-        about: One line for people, with the unit.
-        samples: The values.
+        about: The help text: one line that includes the unit.
+        samples: The samples.
     """
 
     name: str
@@ -39,7 +39,7 @@
 
 
 def format_text(families: Iterable[Family]) -> bytes:
-    """Write metrics as Prometheus reads them."""
+    """Encode metric families in the Prometheus text format."""
     lines = []
     for family in families:
         lines.append(f"# HELP {family.name} {family.about}")
--- a/src/wagtailpoint/observe/timeline.py
+++ b/src/wagtailpoint/observe/timeline.py
@@ -1,4 +1,4 @@
-"""A bounded ring of events in each process, merged over all processes by their stamps."""
+"""The timeline: a ring buffer of events per process, merged across processes by stamp."""
 
 from collections import deque
 from collections.abc import Iterable, Mapping
@@ -10,13 +10,13 @@
 
 
 class TimelineEvent(NamedTuple):
-    """Something that happened in one process.
+    """An event in one process.
 
     Attributes:
-        stamp: When, in an order that holds across processes.
+        stamp: The time of the event; stamps are ordered across processes.
         instance: The address of the instance.
         event: The kind of event, for example ``config-enforced``.
-        fields: What else is known of it.
+        fields: Details of the event.
     """
 
     stamp: Stamp
@@ -33,9 +33,9 @@
     """The newest events of this process.
 
     Args:
-        clock: Stamps the events.
+        clock: The clock that stamps the events.
         instance: The address of this instance.
-        most_events: How many events are kept; the oldest go first.
+        most_events: Maximum number of events kept; the oldest are discarded first.
     """
 
     def __init__(self, *, clock: HybridClock, instance: str, most_events: int) -> None:
@@ -44,15 +44,15 @@
         self._events: deque[TimelineEvent] = deque(maxlen=most_events)
 
     def record(self, event: str, **fields: FieldValue) -> None:
-        """Record an event, now."""
+        """Record an event at the current time."""
         self._events.append(TimelineEvent(self._clock.now(), self._instance, event, fields))
 
     def since(self, stamp: Stamp) -> list[TimelineEvent]:
-        """Return the events after ``stamp`` that are still kept, oldest first."""
+        """Return the events in the buffer that are later than ``stamp``, oldest first."""
         return [event for event in self._events if event.stamp > stamp]
 
 
 def merge_timelines(timelines: Iterable[Iterable[TimelineEvent]]) -> list[TimelineEvent]:
-    """Merge the events of several processes into one order."""
+    """Merge the events of several processes, sorted by stamp."""
     events = [event for timeline in timelines for event in timeline]
     return sorted(events, key=lambda event: (event.stamp, event.instance))
--- a/src/wagtailpoint/observe/version_history.py
+++ b/src/wagtailpoint/observe/version_history.py
@@ -1,4 +1,4 @@
-"""Which instance had which version of the configuration in force since when, by their logs."""
+"""Determines from logs when instances enforced which version of the configuration."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from datetime import datetime
@@ -6,14 +6,14 @@
 
 
 class VersionSpread(NamedTuple):
-    """How a version of the configuration came into force.
+    """The times at which instances started to enforce a version of the configuration.
 
     Attributes:
         version: The version.
-        first: When the first instance had it in force.
-        last: When the last one of those that ever had it did.
-        last_instance: Which one that was.
-        instances: How many processes had it in force.
+        first: The time at which the first instance enforced it.
+        last: The time at which the last instance enforced it, of those that ever did.
+        last_instance: The name of the last instance.
+        instances: Number of processes that enforced it.
     """
 
     version: int
@@ -29,12 +29,12 @@
 
 
 class InstanceVersion(NamedTuple):
-    """What an instance has in force at the end of its log.
+    """The version that an instance enforces at the end of its log.
 
     Attributes:
-        instance: The instance.
-        version: The version; None if its last process had none.
-        since: When it came into force there, or the process started.
+        instance: The name of the instance.
+        version: The version; None if its last process enforced none.
+        since: The time since which the version is enforced; without one, the start of the process.
     """
 
     instance: str
@@ -43,10 +43,10 @@
 
 
 class VersionHistory:
-    """Collects the lines that tell starts, and versions that came into force."""
+    """Collects process starts and enforced versions from log lines."""
 
     def __init__(self, *, lines: Iterable[Mapping[str, str]]) -> None:
-        """Read all lines; those of one instance must stand in the order of time."""
+        """Read all lines; the lines of each instance must be in chronological order."""
         self._current: dict[str, InstanceVersion] = {}
         self._times: dict[int, list[tuple[datetime, str]]] = {}
         for line in lines:
@@ -54,12 +54,12 @@
 
     @property
     def versions(self) -> Sequence[VersionSpread]:
-        """All versions, the oldest first."""
+        """The spread of each version, oldest first."""
         return [_measure_spread(version, times) for version, times in sorted(self._times.items())]
 
     @property
     def instances(self) -> Sequence[InstanceVersion]:
-        """All instances by name."""
+        """All instances, sorted by name."""
         return [self._current[name] for name in sorted(self._current)]
 
     def _record_line(self, line: Mapping[str, str]) -> None:
--- a/tests/cover/test_versions.py
+++ b/tests/cover/test_versions.py
@@ -1,4 +1,4 @@
-"""When each configuration came into force where, read from logs."""
+"""The ``versions`` command: when instances enforced each configuration, read from logs."""
 
 import tempfile
 from pathlib import Path
@@ -25,12 +25,12 @@
 
     def test_spread_of_each_version(self) -> None:
         spreads = self.run_versions()["versions"]
-        self.assertEqual([each["version"] for each in spreads], [3, 5])
+        self.assertEqual([spread["version"] for spread in spreads], [3, 5])
         self.assertEqual((spreads[0]["instances"], spreads[0]["last_instance"]), (2, "b"))
 
     def test_instances_that_are_behind(self) -> None:
         instances = self.run_versions()["instances"]
-        found = {each["instance"]: (each["version"], each["behind"]) for each in instances}
+        found = {item["instance"]: (item["version"], item["behind"]) for item in instances}
         self.assertEqual(found, {"a": (5, False), "b": (3, True), "c": (None, True)})
 
     def test_tables(self) -> None:
