--- a/src/wagtailpoint/checking.py
+++ b/src/wagtailpoint/checking.py
@@ -46,7 +46,7 @@
     return f"; did you mean {close[0]!r}?" if close else ""
 
 
-def one_of(choices: Iterable[str]) -> str:
+def describe_choices(choices: Iterable[str]) -> str:
     """Describe a closed set of values."""
     listed = ", ".join(sorted(choices))
     return f"one of: {listed}" if listed else "nothing: there is none to choose from"
@@ -64,7 +64,7 @@
         return True
     if not given:
         return False  # missing or of a wrong type, which its reader has recorded
-    expected = f"{what}, {one_of(known)}{did_you_mean(given, known)}"
+    expected = f"{what}, {describe_choices(known)}{did_you_mean(given, known)}"
     mistakes.append(Mistake(path, show(given), expected))
     return False
 
@@ -150,7 +150,7 @@
         self._seen.add(name)
         return self._fields.get(name)
 
-    def _take(self, name: str, expected: str, default: Any) -> Any:
+    def _get_field(self, name: str, expected: str, default: Any) -> Any:
         """The raw value of a field; ``REQUIRED`` when it is missing without a default."""
         self._seen.add(name)
         if name in self._fields:
@@ -168,15 +168,15 @@
         default: str | _Required = REQUIRED,
     ) -> str:
         """Read a string that is not empty."""
-        wanted = one_of(choices) if choices is not None else expected
-        value = self._take(name, wanted, default)
+        expected_text = describe_choices(choices) if choices is not None else expected
+        value = self._get_field(name, expected_text, default)
         if value is REQUIRED:
             return ""
         if not isinstance(value, str) or not value:
-            self.mistake(name, value, wanted)
+            self.mistake(name, value, expected_text)
             return ""
         if choices is not None and value not in choices:
-            self.mistake(name, value, wanted + did_you_mean(value, choices))
+            self.mistake(name, value, expected_text + did_you_mean(value, choices))
         return value
 
     def name(self, name: str) -> str:
@@ -200,7 +200,7 @@
 
     def flag(self, name: str, *, default: bool | _Required = REQUIRED) -> bool:
         """Read true or false."""
-        value = self._take(name, "true or false", default)
+        value = self._get_field(name, "true or false", default)
         if value is REQUIRED:
             return False
         if not isinstance(value, bool):
@@ -229,7 +229,7 @@
             default: Used when the field is missing.
         """
         expected = "a number" + describe_range(unit, above, minimum, maximum)
-        value = self._take(name, expected, default)
+        value = self._get_field(name, expected, default)
         if value is REQUIRED:
             return 0.0
         if not is_number(value) or not in_range(value, above, minimum, maximum):
@@ -255,7 +255,7 @@
     ) -> int:
         """Read a whole number."""
         expected = "a whole number" + describe_range(unit, None, minimum, maximum)
-        value = self._take(name, expected, default)
+        value = self._get_field(name, expected, default)
         if value is REQUIRED:
             return 0
         whole = isinstance(value, int) and not isinstance(value, bool)
@@ -266,12 +266,12 @@
 
     def items(self, name: str, *, expected: str, default: Any = REQUIRED) -> list[Any]:
         """Read a list, its items unchecked."""
-        wanted = f"a list of {expected}"
-        value = self._take(name, wanted, default)
+        expected_list = f"a list of {expected}"
+        value = self._get_field(name, expected_list, default)
         if value is REQUIRED:
             return []
         if not isinstance(value, list):
-            self.mistake(name, value, wanted)
+            self.mistake(name, value, expected_list)
             return []
         return value
 
@@ -305,15 +305,15 @@
 
     def child(self, name: str, *, default: Any = REQUIRED) -> "ObjectReader":
         """Read a field that is an object."""
-        value = self._take(name, "an object: {...}", default)
+        value = self._get_field(name, "an object: {...}", default)
         if value is REQUIRED:
-            place = self.path_of(name)
-            return ObjectReader(value={}, path=place, mistakes=self._mistakes, absent=True)
+            field_path = self.path_of(name)
+            return ObjectReader(value={}, path=field_path, mistakes=self._mistakes, absent=True)
         return self._reader(name, value)
 
     def mapping(self, name: str, *, default: Any = REQUIRED) -> dict[str, Any]:
         """Read a field that is an object with names of the user's own, its values unchecked."""
-        value = self._take(name, "an object: {...}", default)
+        value = self._get_field(name, "an object: {...}", default)
         if value is REQUIRED:
             return {}
         if not isinstance(value, dict):
@@ -325,9 +325,9 @@
         """Read an object whose fields are objects under names of the user's own."""
         readers = {}
         for key, value in self.mapping(name, default=default).items():
-            place = f"{name}.{key}"
-            check_name(path=self.path_of(place), given=key, mistakes=self._mistakes)
-            readers[key] = self._reader(place, value)
+            field_path = f"{name}.{key}"
+            check_name(path=self.path_of(field_path), given=key, mistakes=self._mistakes)
+            readers[key] = self._reader(field_path, value)
         return readers
 
     def finish(self) -> None:
--- a/src/wagtailpoint/config/compile.py
+++ b/src/wagtailpoint/config/compile.py
@@ -9,7 +9,7 @@
 
 from result import Err, Ok, Result
 
-from wagtailpoint.checking import ObjectReader, check_name, check_reference, one_of, show
+from wagtailpoint.checking import ObjectReader, check_name, check_reference, describe_choices, show
 from wagtailpoint.config.blocks import BlockList, BlockReader, RegionBlocks
 from wagtailpoint.config.model import (
     Drain,
@@ -223,7 +223,7 @@
             mistakes=mistakes,
         )
         if route.service not in workspace.groups:
-            expected = f"a group, {one_of(parsed.services[route.service].groups)}"
+            expected = f"a group, {describe_choices(parsed.services[route.service].groups)}"
             mistakes.append(Mistake(f"{path}groups.{route.service}", "nothing", expected))
     for name, group in workspace.groups.items():
         field_path = f"{path}groups.{name}"
@@ -285,7 +285,7 @@
     current = workspace.groups.get(service.name)
     if current is None:
         expected = f"a service that workspace/{workspace.name} uses"
-        expected += f", {one_of(workspace.groups)}"
+        expected += f", {describe_choices(workspace.groups)}"
         mistakes.append(Mistake(f"{path}service", show(service.name), expected))
     elif current not in (move.from_group, move.to_group):
         # The workspace may already name to_group: a move is completed by writing to_group into the
--- a/src/wagtailpoint/config/templates.py
+++ b/src/wagtailpoint/config/templates.py
@@ -7,11 +7,11 @@
 from wagtailpoint.checking import (
     REQUIRED,
     ObjectReader,
+    describe_choices,
     describe_range,
     did_you_mean,
     in_range,
     is_number,
-    one_of,
     show,
 )
 from wagtailpoint.errors import Mistake
@@ -45,7 +45,7 @@
     def expected(self) -> str:
         """A description of valid values for error messages."""
         if self.choices is not None:
-            return one_of(show(choice) for choice in self.choices)
+            return describe_choices(show(choice) for choice in self.choices)
         if self.type in ("integer", "number"):
             return "parameter" + describe_range(self.type, None, self.minimum, self.maximum)
         return f"parameter ({self.type})"
@@ -85,7 +85,7 @@
     reader.finish()
     for path_of_value, reference in _find_references(body, reader.path_of("workspace")):
         if reference not in parameters:
-            expected = one_of(parameters) + did_you_mean(reference, parameters)
+            expected = describe_choices(parameters) + did_you_mean(reference, parameters)
             given = show("${" + reference + "}")
             mistakes.append(
                 Mistake(path_of_value, given, f"a parameter of this template, {expected}")
@@ -110,7 +110,7 @@
     for name, value in given.items():
         if name not in template.parameters:
             known = template.parameters
-            expected = f"a parameter of template/{template.name}, {one_of(known)}"
+            expected = f"a parameter of template/{template.name}, {describe_choices(known)}"
             mistake = Mistake(f"{path}.{name}", show(value), expected + did_you_mean(name, known))
             mistakes.append(mistake)
     values = {}
--- a/src/wagtailpoint/fingerprint.py
+++ b/src/wagtailpoint/fingerprint.py
@@ -23,7 +23,7 @@
         credentials: What the caller proves its identity by; empty if it does not.
     """
     # No line break can stand in what comes before the body, so no part can pass for the next one.
-    head = f"{method}\n{host.lower()}\n{target}\n{len(credentials)}\n".encode()
-    digest = blake2b(head + credentials, digest_size=DIGEST_BYTES)
+    prefix = f"{method}\n{host.lower()}\n{target}\n{len(credentials)}\n".encode()
+    digest = blake2b(prefix + credentials, digest_size=DIGEST_BYTES)
     digest.update(body)
     return digest.hexdigest()
--- a/src/wagtailpoint/settings.py
+++ b/src/wagtailpoint/settings.py
@@ -146,7 +146,7 @@
     )
     reader.finish()
     if not mistakes:
-        _check_together(settings, reader)
+        _check_cross_field_rules(settings, reader)
     return Err(InvalidInput(mistakes)) if mistakes else Ok(settings)
 
 
@@ -194,7 +194,7 @@
     return Timings(**values)
 
 
-def _check_together(settings: Settings, reader: ObjectReader) -> None:
+def _check_cross_field_rules(settings: Settings, reader: ObjectReader) -> None:
     """Check the rules that bind several fields."""
     timings = settings.timings
     if settings.port == settings.peer_port:
