--- a/src/wagtailpoint/__init__.py
+++ b/src/wagtailpoint/__init__.py
@@ -1,7 +1,7 @@
-"""Wagtailpoint: global traffic steering by many equal instances.
+"""Wagtailpoint: global traffic steering by instances without a leader.
 
-The public surface for programs is the caller library; the daemon and the command-line tool are
-the programs ``wagtailpointd`` and ``wagtailpoint``.
+The caller library is the public Python API. The daemon is ``wagtailpointd``, the command-line tool
+``wagtailpoint``.
 """
 
 from wagtailpoint.caller import Answer, Caller
--- a/src/wagtailpoint/checking.py
+++ b/src/wagtailpoint/checking.py
@@ -1,8 +1,8 @@
-"""Checks of JSON input that collect every mistake instead of stopping at the first.
+"""Validates JSON input and collects all mistakes instead of stopping at the first.
 
-An operator who mends a file one mistake a run loses time when it counts most. So a reader records
-what is wrong, hands out a harmless value of the right type in its place, and goes on; the caller
-looks at the collected mistakes at the end, before any value is used.
+If operators saw only one mistake per run, fixing a file would take many runs. A reader therefore
+records each mistake, returns a placeholder value of the right type and continues. The caller has to
+check the collected mistakes before it uses any value.
 """
 
 import difflib
@@ -24,68 +24,68 @@
 
 
 class _Required:
-    """The type of the marker for a field without a default."""
+    """The type of ``REQUIRED``, which marks a field without a default."""
 
 
 REQUIRED: Final = _Required()
 
 
 def show(value: Any) -> str:
-    """Write a value as the user wrote it, shortened."""
+    """Format a value as JSON for an error message, truncated."""
     text = json.dumps(value, ensure_ascii=False, default=str)
     return text if len(text) <= _MAX_SHOWN else text[: _MAX_SHOWN - 3] + "..."
 
 
 def did_you_mean(given: str, known: Iterable[str]) -> str:
-    """Suggest the closest known name.
+    """Suggest the known name that is closest to the given one.
 
     Returns:
-        ``"; did you mean 'x'?"``, or nothing when no name is close.
+        ``"; did you mean 'x'?"``, or an empty string if no name is close.
     """
     close = difflib.get_close_matches(given, list(known), n=1)
     return f"; did you mean {close[0]!r}?" if close else ""
 
 
 def describe_choices(choices: Iterable[str]) -> str:
-    """Describe a closed set of values."""
+    """Describe the values that a field accepts."""
     listed = ", ".join(sorted(choices))
-    return f"one of: {listed}" if listed else "nothing: there is none to choose from"
+    return f"one of: {listed}" if listed else "no value (there are none to choose from)"
 
 
 def check_reference(
     *, path: str, given: str, known: Collection[str], what: str, mistakes: list[Mistake]
 ) -> bool:
-    """Check that a name refers to something that exists.
+    """Check that a name refers to an existing object; record a mistake if it doesn't.
 
     Returns:
-        Whether it does; if not, a mistake is recorded.
+        Whether the object exists.
     """
     if given in known:
         return True
     if not given:
-        return False  # missing or of a wrong type, which its reader has recorded
+        return False  # The reader has recorded that it is missing or has a wrong type.
     expected = f"{what}, {describe_choices(known)}{did_you_mean(given, known)}"
     mistakes.append(Mistake(path, show(given), expected))
     return False
 
 
 def check_name(*, path: str, given: str, mistakes: list[Mistake]) -> None:
-    """Check the form of an object's name."""
+    """Check that an object's name follows ``NAME_RULE``; record a mistake if it doesn't."""
     if not _NAME.fullmatch(given):
         mistakes.append(Mistake(path, show(given), NAME_RULE))
 
 
 def parse_json(text: str | bytes, *, path: str) -> Result[Any, InvalidInput]:
-    """Parse JSON, naming line and column of a syntax error."""
+    """Parse JSON; a syntax error is reported with its line and column."""
     try:
         value = json.loads(text)
-        # "\ud800" is good JSON and no text: it could neither be stored nor be shown.
+        # An unpaired surrogate such as "\ud800" is valid JSON but can't be encoded in UTF-8.
         json.dumps(value, ensure_ascii=False).encode()
     except json.JSONDecodeError as error:
         problem = f"{error.msg} at line {error.lineno}, column {error.colno}"
     except RecursionError:
         problem = "nested too deeply"
-    except ValueError as error:  # not UTF-8, half a character, or a number of thousands of digits
+    except ValueError as error:  # not UTF-8, unpaired surrogate, number with too many digits
         problem = str(error)
     else:
         return Ok(value)
@@ -95,19 +95,20 @@
 class ObjectReader:
     """Reads the fields of one JSON object.
 
-    Every method records a mistake, rather than raise, when its field is missing or wrong.
+    If a field is missing or invalid, its method records a mistake instead of raising.
     """
 
     def __init__(
         self, *, value: Any, path: str, mistakes: list[Mistake], absent: bool = False
     ) -> None:
-        """Start reading.
+        """Initialise the reader.
 
         Args:
-            value: What was parsed; a mistake is recorded if it is no object.
-            path: The place of the object; ends in ``": "`` for the top of a named object.
-            mistakes: Where mistakes are collected.
-            absent: The object is missing, which was recorded; its fields then raise no mistakes.
+            value: The parsed JSON value; a mistake is recorded if it isn't an object.
+            path: The path of the object; ends in ``": "`` for the top level of a named object.
+            mistakes: The list to which mistakes are appended.
+            absent: Whether the object is missing. This has been recorded already, so that its
+                missing fields record no further mistakes.
         """
         self._path = path
         self._mistakes = mistakes
@@ -119,11 +120,11 @@
 
     @property
     def path(self) -> str:
-        """The place of the object."""
+        """The path of the object."""
         return self._path
 
     def path_of(self, name: str | None) -> str:
-        """The place of a field, or of the whole object for None."""
+        """Return the path of a field, or of the whole object for None."""
         if name is None:
             return self._path.removesuffix(": ") or "(top)"
         separator = "" if not self._path or self._path.endswith(": ") else "."
@@ -134,24 +135,24 @@
         self._mistakes.append(Mistake(self.path_of(name), show(given), expected))
 
     def has(self, name: str) -> bool:
-        """Whether the field was given."""
+        """Return whether the object has the field."""
         return name in self._fields
 
     def names(self) -> tuple[str, ...]:
-        """The names of the fields that were given."""
+        """Return the names of the fields that the object has."""
         return tuple(self._fields)
 
     def note(self, *names: str) -> None:
-        """Count fields as known although this object does not have them."""
+        """Mark fields as known without reading them."""
         self._seen.update(names)
 
     def raw(self, name: str) -> Any:
-        """Read a field of any type; None when it is missing."""
+        """Read a field of any type; None if it is missing."""
         self._seen.add(name)
         return self._fields.get(name)
 
     def _get_field(self, name: str, expected: str, default: Any) -> Any:
-        """The raw value of a field; ``REQUIRED`` when it is missing without a default."""
+        """Return the unchecked value of a field, or its default if the field is missing."""
         self._seen.add(name)
         if name in self._fields:
             return self._fields[name]
@@ -167,7 +168,7 @@
         choices: Collection[str] | None = None,
         default: str | _Required = REQUIRED,
     ) -> str:
-        """Read a string that is not empty."""
+        """Read a non-empty string."""
         expected_text = describe_choices(choices) if choices is not None else expected
         value = self._get_field(name, expected_text, default)
         if value is REQUIRED:
@@ -180,7 +181,7 @@
         return value
 
     def name(self, name: str) -> str:
-        """Read a string that has the form of an object's name."""
+        """Read a string that follows ``NAME_RULE``."""
         value = self.text(name, expected=NAME_RULE)
         if value:
             check_name(path=self.path_of(name), given=value, mistakes=self._mistakes)
@@ -191,7 +192,7 @@
         expected = 'an IP number such as "10.0.0.7"'
         value = self.text(name, expected=expected)
         if value and not is_ip_number(value):
-            self.mistake(name, value, expected + ", of one machine; names are not resolved")
+            self.mistake(name, value, expected + " of one host; names are not resolved")
         return value
 
     def port(self, name: str) -> int:
@@ -199,7 +200,7 @@
         return self.integer(name, unit="port", minimum=1, maximum=MAX_PORT)
 
     def flag(self, name: str, *, default: bool | _Required = REQUIRED) -> bool:
-        """Read true or false."""
+        """Read a boolean."""
         value = self._get_field(name, "true or false", default)
         if value is REQUIRED:
             return False
@@ -221,12 +222,12 @@
         """Read a finite number.
 
         Args:
-            name: The field.
-            unit: For the message, for example ``seconds``.
-            above: The value must be greater.
-            minimum: The least value.
-            maximum: The greatest value.
-            default: Used when the field is missing.
+            name: The name of the field.
+            unit: The unit for error messages, for example ``seconds``.
+            above: The exclusive lower bound.
+            minimum: The inclusive lower bound.
+            maximum: The inclusive upper bound.
+            default: The value if the field is missing.
         """
         expected = "a number" + describe_range(unit, above, minimum, maximum)
         value = self._get_field(name, expected, default)
@@ -238,7 +239,7 @@
         return float(value)
 
     def optional_number(self, name: str, *, unit: str, above: float | None = None) -> float | None:
-        """Read a number that may be missing or null."""
+        """Read a number; None if it is missing or null."""
         if self._fields.get(name) is None:
             self._seen.add(name)
             return None
@@ -265,7 +266,7 @@
         return int(value)
 
     def items(self, name: str, *, expected: str, default: Any = REQUIRED) -> list[Any]:
-        """Read a list, its items unchecked."""
+        """Read a list with unchecked items."""
         expected_list = f"a list of {expected}"
         value = self._get_field(name, expected_list, default)
         if value is REQUIRED:
@@ -276,7 +277,7 @@
         return value
 
     def texts(self, name: str, *, expected: str, default: Any = REQUIRED) -> tuple[str, ...]:
-        """Read a list of strings."""
+        """Read a list of non-empty strings."""
         values = self.items(name, expected=expected, default=default)
         for index, value in enumerate(values):
             if not isinstance(value, str) or not value:
@@ -292,19 +293,19 @@
         return tuple(float(value) for value in values if is_number(value))
 
     def lists(self, name: str, *, expected: str) -> "dict[str, list[ObjectReader]]":
-        """Read an object whose fields are lists of objects under names of the user's own."""
+        """Read an object that maps user-defined names to lists of objects."""
         inner = self.child(name)
         for key in inner.names():
             check_name(path=inner.path_of(key), given=key, mistakes=self._mistakes)
         return {key: inner.objects(key, expected=expected) for key in inner.names()}
 
     def objects(self, name: str, *, expected: str, default: Any = REQUIRED) -> "list[ObjectReader]":
-        """Read a list of objects, each with a reader of its own."""
+        """Read a list of objects; return a reader for each."""
         values = self.items(name, expected=expected, default=default)
         return [self._reader(f"{name}[{index}]", value) for index, value in enumerate(values)]
 
     def child(self, name: str, *, default: Any = REQUIRED) -> "ObjectReader":
-        """Read a field that is an object."""
+        """Read an object; return a reader for it."""
         value = self._get_field(name, "an object: {...}", default)
         if value is REQUIRED:
             field_path = self.path_of(name)
@@ -312,7 +313,7 @@
         return self._reader(name, value)
 
     def mapping(self, name: str, *, default: Any = REQUIRED) -> dict[str, Any]:
-        """Read a field that is an object with names of the user's own, its values unchecked."""
+        """Read an object that maps user-defined names to unchecked values."""
         value = self._get_field(name, "an object: {...}", default)
         if value is REQUIRED:
             return {}
@@ -322,7 +323,7 @@
         return value
 
     def named_objects(self, name: str, *, default: Any = REQUIRED) -> "dict[str, ObjectReader]":
-        """Read an object whose fields are objects under names of the user's own."""
+        """Read an object that maps user-defined names to objects; return a reader for each."""
         readers = {}
         for key, value in self.mapping(name, default=default).items():
             field_path = f"{name}.{key}"
@@ -331,7 +332,7 @@
         return readers
 
     def finish(self) -> None:
-        """Record every field that nobody asked for: a mistyped field would silently do nothing."""
+        """Record unknown fields as mistakes, so that a mistyped field isn't silently ignored."""
         for name in self._fields:
             if name not in self._seen:
                 expected = f"no such field{did_you_mean(name, self._seen)}"
@@ -343,9 +344,9 @@
 
 
 def is_ip_number(value: str) -> bool:
-    """Whether a string is the IP number of one machine.
+    """Return whether a string is an IP number of one host.
 
-    ``0.0.0.0`` is none: others are told an instance's address, and could not reach it there.
+    ``0.0.0.0`` is rejected: an instance's address is sent to others, which couldn't connect to it.
     """
     try:
         return not ip_address(value).is_unspecified
@@ -354,8 +355,8 @@
 
 
 def is_number(value: Any) -> bool:
-    """Whether a value is a finite number; true and false are none."""
-    # A comparison, because math.isfinite raises for an integer that is too large for a float.
+    """Return whether a value is a finite number; booleans aren't numbers."""
+    # math.isfinite raises for an integer that is too large for a float.
     number = isinstance(value, int | float) and not isinstance(value, bool)
     return number and abs(value) <= sys.float_info.max
 
@@ -363,7 +364,7 @@
 def in_range(
     value: float, above: float | None, minimum: float | None, maximum: float | None
 ) -> bool:
-    """Whether a number is within its bounds."""
+    """Return whether a number is within its bounds."""
     return (
         (above is None or value > above)
         and (minimum is None or value >= minimum)
@@ -374,7 +375,7 @@
 def describe_range(
     unit: str, above: float | None, minimum: float | None, maximum: float | None
 ) -> str:
-    """Describe unit and bounds, for example `` (seconds) above 0 up to 60``."""
+    """Describe a unit and bounds, for example `` (seconds) above 0 up to 60``."""
     parts = [f" ({unit})"]
     if above is not None:
         parts.append(f"above {above:g}")
--- a/src/wagtailpoint/errors.py
+++ b/src/wagtailpoint/errors.py
@@ -1,7 +1,7 @@
-"""The exceptions that cross the boundaries of the package.
+"""The public exceptions of the package.
 
-Messages say what was given, what was expected and how to mend it. Refusals of requests are not
-exceptions but values (see ``wagtailpoint.admission``), because a refusal is an ordinary outcome.
+Messages state the value given, the value expected and how to correct it. Refusals of requests are
+values, not exceptions (see ``wagtailpoint.admission``), because they are an ordinary outcome.
 """
 
 from typing import NamedTuple
@@ -10,16 +10,16 @@
 
 
 class WagtailpointError(Exception):
-    """The base of all exceptions raised by wagtailpoint."""
+    """Base class of all exceptions raised by wagtailpoint."""
 
 
 class Mistake(NamedTuple):
-    """One mistake in the user's input.
+    """A mistake in the user's input.
 
     Attributes:
-        path: The field, for example ``routes[2].timeout_ms``.
-        given: What was there, as the user wrote it.
-        expected: What would have been accepted, with its unit.
+        path: The path of the field, for example ``routes[2].timeout_ms``.
+        given: The value given, as the user wrote it.
+        expected: A description of the values accepted, with their unit.
     """
 
     path: str
@@ -31,7 +31,7 @@
 
 
 class InvalidInput(WagtailpointError):
-    """Settings or configuration that break a rule; carries every mistake found, not just one."""
+    """Invalid settings or configuration; contains all mistakes found."""
 
     def __init__(self, mistakes: list[Mistake]) -> None:
         super().__init__("\n".join(str(mistake) for mistake in mistakes))
@@ -39,10 +39,11 @@
 
 
 class PlatformUnavailable(WagtailpointError):
-    """The platform did not do what was asked, and certainly changed nothing.
+    """A call to the platform failed and definitely changed nothing.
 
     Attributes:
-        retry_after_s: When the platform asked to come back, in seconds; None if it did not say.
+        retry_after_s: Delay in seconds after which the platform asked for a retry; None if not
+            given.
     """
 
     def __init__(self, message: str = "", *, retry_after_s: float | None = None) -> None:
@@ -51,29 +52,29 @@
 
 
 class OutcomeUnknown(WagtailpointError):
-    """A write was sent to the platform and its answer was lost: it may or may not have landed.
+    """The answer to a write to the platform was lost; the write may have taken effect.
 
-    The only sound reaction is to read the object back; to write again blindly could undo a change
-    that somebody else made in between.
+    The caller has to read the object back. An unconditional retry could overwrite a change that was
+    made in between.
     """
 
 
 class WatchTooOld(WagtailpointError):
-    """The platform no longer has the events since the version asked for: list again, then watch."""
+    """The platform has discarded events since the requested version; list again, then watch."""
 
 
 class NoEntryAvailable(WagtailpointError):
-    """A caller found no entry instance that answered within the deadline."""
+    """No entry instance answered a caller within the deadline."""
 
 
 class RequestUnanswered(WagtailpointError):
-    """A caller's request got no whole answer from any entry instance.
+    """A caller received no complete response from any entry instance.
 
     Attributes:
-        verdict: Whether the request may have run; after ``MAY_HAVE_RUN`` repeat it with the same
+        verdict: Whether the request may have run. After ``MAY_HAVE_RUN``, retry it with the same
             caller and the same key, or read the outcome from the service.
     """
 
     def __init__(self, *, verdict: Verdict, reason: str) -> None:
-        super().__init__(f"no whole answer: {reason}; verdict {verdict.value}")
+        super().__init__(f"no complete response: {reason}; verdict {verdict.value}")
         self.verdict = verdict
--- a/src/wagtailpoint/fingerprint.py
+++ b/src/wagtailpoint/fingerprint.py
@@ -1,28 +1,28 @@
-"""Which requests are the same, whatever their ids and whoever sends them."""
+"""Fingerprints that identify equal requests, regardless of their ids and senders."""
 
 from hashlib import blake2b
 from typing import Final
 
 DIGEST_BYTES: Final = 10
-"""Short enough for log lines; 80 bits, so that no two requests of a day share one by chance."""
+"""Short enough for log lines; 80 bits make collisions among a day's requests negligible."""
 
 
 def fingerprint(
     *, method: str, host: str, target: str, body: bytes, credentials: bytes = b""
 ) -> str:
-    """Tell a request by all that a backend server's code can depend on.
+    """Return a digest of the parts of a request that can affect a backend server.
 
-    The id and the deadline are left out, as they differ from send to send, and so is the caller's
-    address, which a backend server does not see.
+    The id and the deadline are excluded because they differ between attempts, and the caller's
+    address because a backend server doesn't receive it.
 
     Args:
-        method: For example ``GET``.
-        host: The host or the workspace that was asked for, in any case.
-        target: Path and query, as they were written.
-        body: The body, or what was read of a long one.
-        credentials: What the caller proves its identity by; empty if it does not.
+        method: The HTTP method, for example ``GET``.
+        host: The requested host or workspace; case doesn't matter.
+        target: The path and query as received.
+        body: The body; of a long body, the part that was read.
+        credentials: The credentials of the caller; empty if there are none.
     """
-    # No line break can stand in what comes before the body, so no part can pass for the next one.
+    # Fields before the body contain no line breaks, so the separators are unambiguous.
     prefix = f"{method}\n{host.lower()}\n{target}\n{len(credentials)}\n".encode()
     digest = blake2b(prefix + credentials, digest_size=DIGEST_BYTES)
     digest.update(body)
--- a/src/wagtailpoint/headers.py
+++ b/src/wagtailpoint/headers.py
@@ -1,4 +1,4 @@
-"""Header names of the caller interface, in the lower-case bytes that ASGI and httpcore use."""
+"""Header names of the caller interface, as lower-case bytes for ASGI and httpcore."""
 
 WORKSPACE = b"wagtailpoint-workspace"
 DEADLINE_MS = b"wagtailpoint-deadline-ms"
--- a/src/wagtailpoint/node_settings.py
+++ b/src/wagtailpoint/node_settings.py
@@ -1,4 +1,4 @@
-"""What one instance of a deployment on an object store is told at its start."""
+"""The settings of an instance in a deployment on an object store, given when it starts."""
 
 import math
 import re
@@ -15,14 +15,14 @@
 
     @classmethod
     def parse(cls, text: str) -> Self:
-        """Read ``ADDRESS:PORT``.
+        """Parse ``ADDRESS:PORT``.
 
         Raises:
-            ValueError: The text has another form, or names no IPv4 address or port.
+            ValueError: The text has another form, or the IPv4 address or the port is invalid.
         """
         address, colon, port = text.rpartition(":")
         if not colon or not re.fullmatch("[0-9]{1,5}", port) or not 0 < int(port) < 65536:
-            raise ValueError(f"given {text!r}, expected ADDRESS:PORT")
+            raise ValueError(f"given {text!r}, expected ADDRESS:PORT with a port from 1 to 65535")
         return cls(str(IPv4Address(address)), int(port))
 
     def __str__(self) -> str:
@@ -30,20 +30,20 @@
 
 
 class ServiceBounds(NamedTuple):
-    """What the operators of the deployment demand of all instances together.
+    """Bounds that all instances of a deployment together have to meet.
 
     Attributes:
         grace_s: Seconds from SIGTERM until the process is killed.
-        repeat_ratio: Repeated sends allowed for each request of a service, over a window.
-        repeat_window_s: That window, in seconds.
-        repeat_slack: Repeated sends allowed in a window beside the ratio.
-        cold_overage: A cold backend server may get so many times its own rate,
-        cold_slack: and so many requests a second more.
-        region_shift_max: The part of a region's requests, 0 to 1, that may change the region in
-            which they run from one two seconds to the next.
-        lookup_ttl_max_s: Callers keep the answer to a lookup no longer than this, in seconds.
-        key_lag_max_s: A key that was taken away lets nothing run after so many seconds, on any
-            instance; infinite if instances that are cut off may go on.
+        repeat_ratio: Retries allowed per request of a service within a window.
+        repeat_window_s: The length of that window, in seconds.
+        repeat_slack: Retries allowed in a window in addition to the ratio.
+        cold_overage: Maximum rate of a cold backend server, as a multiple of its own rate.
+        cold_slack: Requests per second allowed in addition to ``cold_overage``.
+        region_shift_max: Maximum fraction of a region's requests, 0 to 1, whose serving region may
+            change between two consecutive periods of two seconds.
+        lookup_ttl_max_s: Maximum time that callers keep the answer to a lookup, in seconds.
+        key_lag_max_s: Seconds after the removal of a key from which no instance runs a request with
+            it; infinite if instances without a connection to the store may continue to.
         allowance_slack: Requests that a workspace may send beyond its allowance in a window.
     """
 
@@ -60,23 +60,23 @@
 
 
 class NodeSettings(NamedTuple):
-    """Where one instance is, what it listens on, and what it may spend.
+    """The location, endpoints and resources of one instance.
 
     Attributes:
-        name: Its name; unique in the deployment, kept by a process that replaces it there.
+        name: Its name, unique in the deployment; a process that replaces it has the same name.
         region: Its region.
         failure_domain: Its failure domain.
         region_of: The region of every failure domain.
-        callers: Where callers send requests.
-        readiness: Where the platform asks whether the instance is ready.
-        lookups: Where callers ask which instances to use.
-        peers: Where the other instances reach it.
-        metrics: Where metrics and status are served.
-        seeds: Peers that may be known at the start; they may be out of date.
-        store: The platform's object store.
-        most_descriptors: File descriptors that the process may have.
-        capacity: What it can do beside other instances, in processor cores.
-        bounds: What the operators demand.
+        callers: The endpoint for requests of callers.
+        readiness: The endpoint at which the platform checks whether the instance is ready.
+        lookups: The endpoint for lookups of callers.
+        peers: The endpoint for messages of the other instances.
+        metrics: The endpoint for metrics and status.
+        seeds: Peers known at the start; the list may be outdated.
+        store: The endpoint of the platform's object store.
+        most_descriptors: Maximum number of open file descriptors.
+        capacity: Its capacity relative to other instances, in processor cores.
+        bounds: Bounds that all instances have to meet.
     """
 
     name: str
--- a/src/wagtailpoint/settings.py
+++ b/src/wagtailpoint/settings.py
@@ -1,7 +1,7 @@
-"""The settings of one instance, read from a JSON file at its start.
+"""The settings of one instance, which are read from a JSON file when it starts.
 
-They say where the instance is and how it works; what it serves is in the configuration objects,
-which it reads from the platform.
+They define the location of the instance and its limits and timings. The services and workspaces
+that it serves are defined by the configuration objects, which it reads from the platform.
 """
 
 from pathlib import Path
@@ -17,28 +17,28 @@
 
 
 class PlatformAddress(NamedTuple):
-    """Where one server of the platform's object API listens."""
+    """The address and port of one server of the platform's object API."""
 
     address: str
     port: int
 
 
 class PeerAddress(NamedTuple):
-    """Where another instance listens for its peers."""
+    """The address and peer port of another instance."""
 
     address: str
     peer_port: int
 
 
 class Limits(NamedTuple):
-    """The most that the instance takes on.
+    """Resource limits of the instance.
 
     Attributes:
-        open_requests: Requests in flight, queued ones included.
-        queued_requests: Requests that wait for a slot.
-        request_body_bytes: Bytes of one request's body.
-        header_bytes: Bytes of one request's headers.
-        keys: Idempotency keys that are remembered; no new ones are taken when that many are.
+        open_requests: Maximum number of requests in flight, including queued requests.
+        queued_requests: Maximum number of requests that wait for a slot.
+        request_body_bytes: Maximum size of a request's body, in bytes.
+        header_bytes: Maximum size of a request's headers, in bytes.
+        keys: Maximum number of idempotency keys in memory; at the limit, new keys are refused.
     """
 
     open_requests: int = 2000
@@ -52,23 +52,23 @@
     """Periods and timeouts, all in seconds.
 
     Attributes:
-        lookup_ttl_s: How long a caller may use a lookup's answer.
-        heartbeat_interval_s: Between two heartbeats to a peer.
-        suspect_after_s: How long a peer that gave no answer has to speak up before it counts as
-            dead; longer where there are more than ten instances, as news takes longer there.
-        epoch_s: How long bindings are given out under one epoch; keys of idempotency are
-            remembered for at least one and at most two epochs.
-        moves_lease_s: The lease of the right to take the steps of moves.
-        probe_interval_s: Between two questions for a backend server's load report.
-        connect_timeout_s: For a connection to a backend server or a peer.
-        platform_timeout_s: For one call of the platform, a watch's own waiting not counted.
-        watch_wait_s: How long one watch waits at the platform.
-        move_interval_s: Between two looks at a running move.
-        caller_idle_s: An idle connection of a caller is closed after it.
-        caller_stall_s: The longest that a caller may stand still in the middle of its headers, of
-            its body, or of a reply (64 KiB of it), before its connection is closed.
-        drain_timeout_s: The longest that a stopping instance waits for requests in flight; long
-            enough for the longest download, for what is cut then is cut for good.
+        lookup_ttl_s: How long a caller may use the answer to a lookup.
+        heartbeat_interval_s: Interval between two heartbeats to a peer.
+        suspect_after_s: How long a suspected peer, which didn't answer, has to refute the suspicion
+            before it counts as dead; longer with more than ten instances, as gossip takes longer.
+        epoch_s: How long bindings are issued under one epoch. Idempotency keys are remembered for
+            at least one and at most two epochs.
+        moves_lease_s: Duration of the lease whose holder executes the steps of moves.
+        probe_interval_s: Interval between two requests for a backend server's load report.
+        connect_timeout_s: Timeout for connecting to a backend server or a peer.
+        platform_timeout_s: Timeout of one call to the platform, in addition to a watch's wait.
+        watch_wait_s: How long one watch waits for changes at the platform.
+        move_interval_s: Interval between two checks of a running move.
+        caller_idle_s: Time after which an idle connection of a caller is closed.
+        caller_stall_s: Maximum time without progress while the instance receives headers or a body
+            from a caller or sends a reply (per 64 KiB) before the connection is closed.
+        drain_timeout_s: Maximum time that a stopping instance waits for requests in flight. It has
+            to cover the longest download, because an interrupted download isn't resumed.
     """
 
     lookup_ttl_s: float = 2.0
@@ -91,15 +91,15 @@
 
     Attributes:
         address: The IP number on which the instance listens.
-        port: HTTP, for callers and operators.
-        peer_port: For the other instances.
-        region: Where it runs.
-        failure_domain: Where it runs.
-        platform: The servers of the platform's object API, tried in this order.
-        peers: Some other instances to begin with; the others are learnt from them.
-        limits: The most that it takes on.
+        port: The HTTP port for callers and operators.
+        peer_port: The port for the other instances.
+        region: The region in which the instance runs.
+        failure_domain: The failure domain in which the instance runs.
+        platform: The servers of the platform's object API, in the order in which they are tried.
+        peers: Some other instances, from which the instance learns of the remaining ones.
+        limits: Resource limits.
         timings: Periods and timeouts.
-        log_level: The least level that is logged.
+        log_level: The lowest level that is logged.
     """
 
     address: str
@@ -115,7 +115,7 @@
 
 
 def read_settings(path: Path) -> Result[Settings, InvalidInput]:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Returns:
         The settings, or every mistake in the file.
@@ -129,7 +129,7 @@
 
 
 def check_settings(value: Any) -> Result[Settings, InvalidInput]:
-    """Check settings that were already parsed from JSON."""
+    """Validate settings that are already parsed from JSON."""
     mistakes: list[Mistake] = []
     reader = ObjectReader(value=value, path="", mistakes=mistakes)
     settings = Settings(
@@ -195,26 +195,26 @@
 
 
 def _check_cross_field_rules(settings: Settings, reader: ObjectReader) -> None:
-    """Check the rules that bind several fields."""
+    """Check the rules that involve several fields."""
     timings = settings.timings
     if settings.port == settings.peer_port:
-        reader.mistake("peer_port", settings.peer_port, "another port than port")
+        reader.mistake("peer_port", settings.peer_port, f"a port other than port ({settings.port})")
     if timings.suspect_after_s <= timings.heartbeat_interval_s:
-        # A peer would count as dead before anybody had asked it a second time.
+        # A peer would count as dead before a second heartbeat is sent to it.
         reader.mistake(
             "timings.suspect_after_s",
             timings.suspect_after_s,
             f"more seconds than heartbeat_interval_s ({timings.heartbeat_interval_s:g})",
         )
     if timings.epoch_s <= timings.lookup_ttl_s:
-        # A binding could be two epochs old, and so refused, while its lookup is still in use.
+        # A binding could be two epochs old, and thus be refused, while its lookup is still valid.
         reader.mistake(
             "timings.epoch_s",
             timings.epoch_s,
             f"more seconds than lookup_ttl_s ({timings.lookup_ttl_s:g})",
         )
     if timings.moves_lease_s <= timings.platform_timeout_s:
-        # One slow renewal would already lose the lease.
+        # A single slow renewal would lose the lease.
         reader.mistake(
             "timings.moves_lease_s",
             timings.moves_lease_s,
--- a/src/wagtailpoint/verdict.py
+++ b/src/wagtailpoint/verdict.py
@@ -6,8 +6,8 @@
 class Verdict(Enum):
     """Whether a request may have run.
 
-    The weakest statement that is certain is given. ``NOT_RUN`` is a promise: callers repeat a
-    non-idempotent request after it, so saying it wrongly pays a release twice.
+    ``RAN`` and ``NOT_RUN`` are only given if they are certain. Callers retry a non-idempotent
+    request after ``NOT_RUN``, so a wrong ``NOT_RUN`` runs it twice, for example a payment.
     """
 
     RAN = "ran"
--- a/tests/cover/test_checking.py
+++ b/tests/cover/test_checking.py
@@ -1,4 +1,4 @@
-"""Reading JSON input field by field."""
+"""Validation of JSON input field by field."""
 
 import unittest
 from typing import Any
@@ -8,13 +8,13 @@
 
 
 class ParseJsonTest(unittest.TestCase):
-    def test_what_is_no_json_document(self) -> None:
+    def test_rejects_invalid_json_documents(self) -> None:
         for text in (b"{,}", b"\xff", b'"\\ud800"', b"1" * 5000, b"[" * 100_000, b""):
             with self.subTest(text=text[:10]):
                 mistakes = parse_json(text, path="x.json").unwrap_err().mistakes
                 self.assertEqual([mistake.path for mistake in mistakes], ["x.json"])
 
-    def test_value(self) -> None:
+    def test_returns_the_parsed_value(self) -> None:
         self.assertEqual(parse_json('{"a": "\u00e9"}', path="x.json").unwrap(), {"a": "\u00e9"})
 
 
@@ -28,7 +28,7 @@
     def paths(self) -> list[str]:
         return [mistake.path for mistake in self.mistakes]
 
-    def test_right_values(self) -> None:
+    def test_valid_values(self) -> None:
         reader = self.reader({"a": "x", "b": 2, "c": True, "d": {"e": 1.5}})
         self.assertEqual(reader.text("a"), "x")
         self.assertEqual(reader.integer("b", unit="slots"), 2)
@@ -37,13 +37,13 @@
         reader.finish()
         self.assertEqual(self.mistakes, [])
 
-    def test_a_boolean_is_no_number(self) -> None:
+    def test_boolean_is_not_a_number(self) -> None:
         reader = self.reader({"a": True, "b": False})
         reader.number("a", unit="seconds")
         reader.integer("b", unit="slots")
         self.assertEqual(self.paths(), ["move/x: a", "move/x: b"])
 
-    def test_a_wrong_object_is_one_mistake(self) -> None:
+    def test_value_of_the_wrong_type_is_a_single_mistake(self) -> None:
         reader = self.reader([1], path="")
         reader.text("a")
         reader.child("b").text("c")
--- a/tests/cover/test_settings.py
+++ b/tests/cover/test_settings.py
@@ -28,7 +28,7 @@
         self.assertEqual(result.ok_value.limits.open_requests, 2000)
         self.assertEqual(result.ok_value.platform[0].port, 7000)
 
-    def test_every_mistake_is_named(self) -> None:
+    def test_every_mistake_is_reported(self) -> None:
         wrong = {
             **SETTINGS,
             "address": "entry-1.example",
@@ -57,17 +57,17 @@
         self.assertIn("did you mean 'lookup_ttl_s'", found["timings.lookup_ttl_ms"])
         self.assertIn("seconds", found["timings.epoch_s"])
 
-    def test_a_platform_is_needed(self) -> None:
+    def test_requires_a_platform_address(self) -> None:
         mistakes = check_settings({**SETTINGS, "platform": []}).unwrap_err().mistakes
         self.assertEqual([mistake.path for mistake in mistakes], ["platform"])
 
-    def test_rules_that_bind_several_fields(self) -> None:
+    def test_rules_that_involve_several_fields(self) -> None:
         timings = {"heartbeat_interval_s": 3, "epoch_s": 1, "moves_lease_s": 1}
         result = check_settings({**SETTINGS, "peer_port": 8080, "timings": timings})
         assert isinstance(result, Err)
         self.assertEqual(len(result.err_value.mistakes), 4)
 
-    def test_files(self) -> None:
+    def test_reads_settings_files(self) -> None:
         with tempfile.TemporaryDirectory() as directory:
             path = Path(directory) / "entry.json"
             self.assertIn("No such file", str(read_settings(path).err()))
--- a/tests/cover/test_verdict.py
+++ b/tests/cover/test_verdict.py
@@ -1,4 +1,4 @@
-"""The verdict's names on the wire."""
+"""The values of the verdict on the wire."""
 
 import unittest
 
@@ -6,5 +6,5 @@
 
 
 class VerdictTest(unittest.TestCase):
-    def test_names_on_the_wire(self) -> None:
+    def test_values_on_the_wire(self) -> None:
         self.assertEqual([verdict.value for verdict in Verdict], ["ran", "not-run", "may-have-run"])
