--- a/src/wagtailpoint/config/compile.py
+++ b/src/wagtailpoint/config/compile.py
@@ -103,9 +103,9 @@
             check_name(path=key, given=name, mistakes=mistakes)
             by_kind[kind][name] = objects[key]
 
-    def read(kind: str, read_one: Callable[[str, ObjectReader], _T]) -> dict[str, _T]:
+    def read(kind: str, read_object: Callable[[str, ObjectReader], _T]) -> dict[str, _T]:
         return {
-            name: read_one(
+            name: read_object(
                 name, ObjectReader(value=value, path=f"{kind}/{name}: ", mistakes=mistakes)
             )
             for name, value in by_kind[kind].items()
@@ -162,7 +162,7 @@
                     mistakes=mistakes,
                 )
                 if server.address in owners:
-                    # Each of the two groups would allocate all slots of the backend server.
+                    # Its slots would be allocated twice, independently of each other.
                     expected = (
                         f"an address and port of its own; {owners[server.address]} has it too"
                     )
--- a/src/wagtailpoint/config/store.py
+++ b/src/wagtailpoint/config/store.py
@@ -177,7 +177,7 @@
         """
         check_objects(puts, frozenset(deletes))
         change = _RequestedChange(
-            info=self._new_info(author, message),
+            info=self._create_info(author, message),
             base_version=base_version,
             puts={key: hash_of(value) for key, value in puts.items()},
             deletes=frozenset(deletes),
@@ -195,11 +195,11 @@
         Raises:
             InvalidInput: The version doesn't exist, or ``check`` refused the result.
         """
-        target = await self._manifest_at(to_version)
+        target = await self._read_manifest_at(to_version)
         if isinstance(target, Err):
             return target
         change = _RequestedChange(
-            info=self._new_info(author, message),
+            info=self._create_info(author, message),
             base_version=base_version,
             puts=target.ok_value["objects"],
             deletes=None,
@@ -222,22 +222,24 @@
         Raises:
             InvalidInput: The version doesn't exist.
         """
-        manifest = await self._manifest_at(version)
+        manifest = await self._read_manifest_at(version)
         if isinstance(manifest, Err):
             return manifest
         return await self._reader.read_snapshot(manifest.ok_value, self._contents)
 
-    def _new_info(self, author: str, message: str) -> ChangeInfo:
+    def _create_info(self, author: str, message: str) -> ChangeInfo:
         change_id = secrets.token_hex(_CHANGE_ID_BYTES)
         return ChangeInfo(0, change_id, author, self._clock_wall(), message)
 
-    async def _manifest_at(self, version: int) -> Result[Manifest, PlatformUnavailable]:
+    async def _read_manifest_at(self, version: int) -> Result[Manifest, PlatformUnavailable]:
         current = await self._reader.read_current()
         if isinstance(current, Err):
             return current
         newest = current.ok_value.version
         if not 1 <= version <= newest:
-            raise InvalidInput([Mistake("version", str(version), f"one from 1 to {newest}")])
+            raise InvalidInput(
+                [Mistake("version", str(version), f"a version, one from 1 to {newest}")]
+            )
         manifests = await self._reader.read_manifests_after(current.ok_value, version - 1)
         return manifests.map(lambda found: found[-1])
 
