--- a/src/wagtailpoint/lookup/blocks.py
+++ b/src/wagtailpoint/lookup/blocks.py
@@ -17,16 +17,16 @@
     network_key,
     parse_address,
     parse_network,
-    prefix_of,
+    prefix_from_key,
 )
 from wagtailpoint.lookup.ranges import Ranges
 
-_MOST_SPLICED = 2_000
-_MOST_COMPARED = 50_000
-_Changes = dict[int, dict[int, int | None]]
+_MAX_CHANGED_BLOCKS = 2_000
+_MAX_COMPARED_BLOCKS = 50_000
+_KeyChanges = dict[int, dict[int, int | None]]
 
 
-class _Family:
+class _AddressFamily:
     """The blocks of one address family."""
 
     def __init__(self, *, bits: int, prefixes: Prefixes, ranges: Ranges | None = None) -> None:
@@ -43,20 +43,20 @@
     def ranges(self) -> Ranges:
         return self._ranges
 
-    def changed(self, changes: dict[int, int | None]) -> "_Family":
-        prefixes = self._prefixes.changed(changes)
+    def with_changes(self, changes: dict[int, int | None]) -> "_AddressFamily":
+        prefixes = self._prefixes.with_changes(changes)
         ranges = self._ranges.copy()
         for key in changes:
-            prefix = prefix_of(self._bits, key)
+            prefix = prefix_from_key(self._bits, key)
             starts, regions = flatten(
                 prefixes.within(prefix),
                 bits=self._bits,
                 first=prefix.first,
                 last=prefix.last,
-                base=prefixes.cover(prefix),
+                base=prefixes.covering_region(prefix),
             )
             ranges.replace(first=prefix.first, last=prefix.last, starts=starts, regions=regions)
-        return _Family(bits=self._bits, prefixes=prefixes, ranges=ranges)
+        return _AddressFamily(bits=self._bits, prefixes=prefixes, ranges=ranges)
 
 
 class ClientBlocks:
@@ -69,12 +69,12 @@
             InvalidInput: A network is not in the form ``ADDRESS/LENGTH``.
         """
         # A `BlockList` stays one: a tuple of 440,000 `ClientBlock`s would take 30 MB.
-        self._blocks = _unchanging(blocks)
+        self._blocks = _as_immutable(blocks)
         self._names: list[str] = [""]
         self._numbers: dict[str, int] = {}
         by_bits: dict[int, dict[int, int]] = {IPV4_BITS: {}, IPV6_BITS: {}}
-        for region, networks in _by_region(self._blocks):
-            number = self._number(region)
+        for region, networks in _networks_by_region(self._blocks):
+            number = self._region_number(region)
             for bits, key in map(network_key, networks):
                 by_bits[bits][key] = number
         self._families = {}
@@ -82,7 +82,7 @@
             # Each dict is dropped as soon as its prefixes are in arrays: at hundreds of thousands
             # of blocks the steps of building would together take more memory than all the rest.
             prefixes = Prefixes(bits=bits, regions=by_bits.pop(bits))
-            self._families[bits] = _Family(bits=bits, prefixes=prefixes)
+            self._families[bits] = _AddressFamily(bits=bits, prefixes=prefixes)
 
     def __len__(self) -> int:
         """Ranges after flattening."""
@@ -108,37 +108,37 @@
         Raises:
             InvalidInput: As in the constructor.
         """
-        blocks = _unchanging(blocks)
+        blocks = _as_immutable(blocks)
         if blocks == self._blocks:
             return self
-        old, new = _unlike(self._blocks, blocks)
-        if len(old) + len(new) > _MOST_COMPARED:
+        old, new = _remove_common_parts(self._blocks, blocks)
+        if len(old) + len(new) > _MAX_COMPARED_BLOCKS:
             return ClientBlocks(blocks=blocks)
         added, removed = set(new).difference(old), set(old).difference(new)
-        if len(added) + len(removed) > _MOST_SPLICED:
+        if len(added) + len(removed) > _MAX_CHANGED_BLOCKS:
             return ClientBlocks(blocks=blocks)
         copy = ClientBlocks(blocks=())
         copy._blocks = blocks
         copy._names = self._names[:]
         copy._numbers = self._numbers.copy()
-        changes = copy._changes(removed, added)
+        changes = copy._key_changes(removed, added)
         copy._families = {
-            bits: family.changed(changes[bits]) if changes[bits] else family
+            bits: family.with_changes(changes[bits]) if changes[bits] else family
             for bits, family in self._families.items()
         }
         return copy
 
-    def _changes(self, removed: set[ClientBlock], added: set[ClientBlock]) -> _Changes:
-        changes: _Changes = {IPV4_BITS: {}, IPV6_BITS: {}}
+    def _key_changes(self, removed: set[ClientBlock], added: set[ClientBlock]) -> _KeyChanges:
+        changes: _KeyChanges = {IPV4_BITS: {}, IPV6_BITS: {}}
         for block in removed:
             prefix = parse_network(block.network)
             changes[prefix.bits][prefix.key] = None
         for block in added:
             prefix = parse_network(block.network)
-            changes[prefix.bits][prefix.key] = self._number(block.region)
+            changes[prefix.bits][prefix.key] = self._region_number(block.region)
         return changes
 
-    def _number(self, region: str) -> int:
+    def _region_number(self, region: str) -> int:
         number = self._numbers.get(region)
         if number is None:
             number = self._numbers[region] = len(self._names)
@@ -146,20 +146,20 @@
         return number
 
 
-def _unchanging(blocks: Sequence[ClientBlock]) -> Sequence[ClientBlock]:
+def _as_immutable(blocks: Sequence[ClientBlock]) -> Sequence[ClientBlock]:
     return blocks if isinstance(blocks, BlockList) else tuple(blocks)
 
 
-def _by_region(blocks: Sequence[ClientBlock]) -> Iterable[tuple[str, Sequence[str]]]:
+def _networks_by_region(blocks: Sequence[ClientBlock]) -> Iterable[tuple[str, Sequence[str]]]:
     if isinstance(blocks, BlockList):
         return blocks.parts
     return ((block.region, (block.network,)) for block in blocks)
 
 
-def _unlike(
-    one: Sequence[ClientBlock], two: Sequence[ClientBlock]
+def _remove_common_parts(
+    old: Sequence[ClientBlock], new: Sequence[ClientBlock]
 ) -> tuple[Sequence[ClientBlock], Sequence[ClientBlock]]:
     """Return the blocks of two lists, if possible without parts that both have."""
-    if isinstance(one, BlockList) and isinstance(two, BlockList):
-        return one.without(two), two.without(one)
-    return one, two
+    if isinstance(old, BlockList) and isinstance(new, BlockList):
+        return old.without(new), new.without(old)
+    return old, new
--- a/src/wagtailpoint/lookup/prefixes.py
+++ b/src/wagtailpoint/lookup/prefixes.py
@@ -33,7 +33,7 @@
         return self.first << _LENGTH_BITS | self.length
 
 
-Placed = tuple[int, int]
+PlacedPrefix = tuple[int, int]
 """The key of a prefix, and the number of its region."""
 
 
@@ -51,55 +51,55 @@
     def __len__(self) -> int:
         return len(self._regions)
 
-    def __iter__(self) -> Iterator[Placed]:
+    def __iter__(self) -> Iterator[PlacedPrefix]:
         return self._slice(0, len(self))
 
-    def within(self, outer: Prefix) -> Iterator[Placed]:
+    def within(self, outer: Prefix) -> Iterator[PlacedPrefix]:
         """Return the prefix itself, if it is there, and those nested in it, in order."""
         begin = bisect_left(self._keys, outer.key)
         end = bisect_left(self._keys, (outer.last + 1) << _LENGTH_BITS)
         return self._slice(begin, end)
 
-    def cover(self, inner: Prefix) -> int:
+    def covering_region(self, inner: Prefix) -> int:
         """Return the region of the longest prefix around another one, else ``NO_REGION``."""
         for length in range(inner.length - 1, -1, -1):
             shift = self._bits - length
             key = Prefix(self._bits, inner.first >> shift << shift, length).key
-            place = bisect_left(self._keys, key)
-            if place < len(self) and self._keys[place] == key:
-                return self._regions[place]
+            index = bisect_left(self._keys, key)
+            if index < len(self) and self._keys[index] == key:
+                return self._regions[index]
         return NO_REGION
 
-    def changed(self, changes: Mapping[int, int | None]) -> "Prefixes":
+    def with_changes(self, changes: Mapping[int, int | None]) -> "Prefixes":
         """Return a copy in which some keys have another region, or None: are gone."""
         copy = Prefixes(bits=self._bits, regions={})
         copy._keys = self._keys[:]
         copy._regions = self._regions[:]
         for key, region in changes.items():
-            copy._change(key, region)
+            copy._set_region(key, region)
         return copy
 
-    def _change(self, key: int, region: int | None) -> None:
-        place = bisect_left(self._keys, key)
-        there = place < len(self) and self._keys[place] == key
-        if there:
-            del self._keys[place]
-            del self._regions[place]
+    def _set_region(self, key: int, region: int | None) -> None:
+        index = bisect_left(self._keys, key)
+        is_present = index < len(self) and self._keys[index] == key
+        if is_present:
+            del self._keys[index]
+            del self._regions[index]
         if region is not None:
-            self._keys.insert(place, key)
-            self._regions.insert(place, region)
+            self._keys.insert(index, key)
+            self._regions.insert(index, region)
 
-    def _slice(self, begin: int, end: int) -> Iterator[Placed]:
+    def _slice(self, begin: int, end: int) -> Iterator[PlacedPrefix]:
         return zip(self._keys[begin:end], self._regions[begin:end], strict=True)
 
 
-def prefix_of(bits: int, key: int) -> Prefix:
+def prefix_from_key(bits: int, key: int) -> Prefix:
     """Return the prefix of a key."""
     return Prefix(bits, key >> _LENGTH_BITS, key & _LENGTH_MASK)
 
 
 def flatten(
-    placed: Iterable[Placed], *, bits: int, first: int, last: int, base: int
+    placed: Iterable[PlacedPrefix], *, bits: int, first: int, last: int, base: int
 ) -> tuple["array[int] | list[int]", "array[int]"]:
     """Turn nested prefixes into disjoint ranges; the longest prefix wins.
 
@@ -179,4 +179,4 @@
 
 def parse_network(text: str) -> Prefix:
     """Like ``network_key``, as a prefix."""
-    return prefix_of(*network_key(text))
+    return prefix_from_key(*network_key(text))
--- a/src/wagtailpoint/lookup/ranges.py
+++ b/src/wagtailpoint/lookup/ranges.py
@@ -29,7 +29,7 @@
 
     def find(self, address: int) -> int:
         """Return the number of the region that holds an address."""
-        return self._regions[self._after(address) - 1]
+        return self._regions[self._index_after(address) - 1]
 
     def copy(self) -> "Ranges":
         """Return a copy, to be changed by ``replace``."""
@@ -43,10 +43,10 @@
         self, *, first: int, last: int, starts: Sequence[int], regions: Sequence[int]
     ) -> None:
         """Put other ranges between two addresses; what lies outside stays as it is."""
-        begin = self._after(first - 1) if first else 0
-        end = self._after(last)
+        begin = self._index_after(first - 1) if first else 0
+        end = self._index_after(last)
         starts, regions = list(starts), list(regions)
-        if last + 1 < 1 << self._bits and self._after(last + 1) == end:
+        if last + 1 < 1 << self._bits and self._index_after(last + 1) == end:
             # The old range went on beyond `last`: its rest needs a start of its own.
             starts.append(last + 1)
             regions.append(self._regions[end - 1])
@@ -56,7 +56,7 @@
             self._low[begin:end] = low
         self._regions[begin:end] = array("H", regions)
 
-    def _after(self, address: int) -> int:
+    def _index_after(self, address: int) -> int:
         """Return the place of the first start beyond an address."""
         if self._low is None:
             return bisect_right(self._high, address)
--- a/src/wagtailpoint/lookup/table.py
+++ b/src/wagtailpoint/lookup/table.py
@@ -18,10 +18,10 @@
 from wagtailpoint.lookup.answer import EntryView, LookupAnswer, LookupEntry
 from wagtailpoint.lookup.blocks import ClientBlocks
 
-TTL_S = 2.0
-MOST_ENTRIES = 6
-LEAST_WEIGHT = 0.05
-_COME_BACK_S = 1.0
+DEFAULT_TTL_S = 2.0
+MAX_ENTRIES = 6
+MIN_WEIGHT = 0.05
+_RETRY_AFTER_S = 1.0
 
 
 class _Domain(NamedTuple):
@@ -43,7 +43,7 @@
         *,
         config: EffectiveConfig,
         own_failure_domain: str,
-        ttl_s: float = TTL_S,
+        ttl_s: float = DEFAULT_TTL_S,
         blocks: ClientBlocks | None = None,
         seed: int = 0,
     ) -> None:
@@ -63,7 +63,7 @@
         self._ttl_s = ttl_s
         self._seed = seed
         self._own_region = _region_of(config, own_failure_domain)
-        self._orders = {name: _by_latency(config, name) for name in config.regions}
+        self._orders = {name: _regions_by_latency(config, name) for name in config.regions}
         self._domains: dict[str, list[_Domain]] = {}
 
     @property
@@ -79,7 +79,7 @@
                 usable.setdefault((entry.region, entry.failure_domain), []).append(entry)
         domains: dict[str, list[_Domain]] = {}
         for (region, _), members in sorted(usable.items()):
-            domains.setdefault(region, []).append(_domain(members))
+            domains.setdefault(region, []).append(_weigh_entries(members))
         self._domains = domains
 
     def answer(self, *, workspace: str, address: str) -> Result[LookupAnswer, Refusal]:
@@ -103,53 +103,53 @@
     def _rank(self, region: str, address: str) -> list[LookupEntry]:
         # Drawn by the client's address, so that it is always told the same entry (its connections
         # stay warm) while the clients together spread by weight, however long they cache.
-        chance = _Draws(f"{self._seed} {address}")
+        draws = _HashDraws(f"{self._seed} {address}")
         ranked: list[LookupEntry] = []
         for name in self._orders.get(region, ()):
-            ranked += _pick(self._domains.get(name, []), chance)
-            if len(ranked) >= MOST_ENTRIES:
+            ranked += _pick_entries(self._domains.get(name, []), draws)
+            if len(ranked) >= MAX_ENTRIES:
                 break
-        return ranked[:MOST_ENTRIES]
+        return ranked[:MAX_ENTRIES]
 
 
-class _Draws:
+class _HashDraws:
     """Even draws between 0 (excluded) and 1 out of a hash: cheaper than to seed a generator."""
 
     def __init__(self, text: str) -> None:
         self._text = text.encode()
         self._round = 0
-        self._left: list[int] = []
+        self._unused: list[int] = []
 
     def next(self) -> float:
-        if not self._left:
+        if not self._unused:
             digest = blake2b(self._text, salt=self._round.to_bytes(4, "big")).digest()
-            self._left = list(unpack(">16I", digest))
+            self._unused = list(unpack(">16I", digest))
             self._round += 1
-        return (self._left.pop() + 1) / (1 << 32)
+        return (self._unused.pop() + 1) / (1 << 32)
 
 
-def _pick(domains: list[_Domain], chance: _Draws) -> list[LookupEntry]:
+def _pick_entries(domains: list[_Domain], draws: _HashDraws) -> list[LookupEntry]:
     """Pick one entry of each failure domain, then second ones, the domains in weighted order."""
     # Exponential keys divided by weights: the order of weighted draws without replacement.
-    order = sorted(domains, key=lambda domain: -math.log(chance.next()) / domain.weight)
-    firsts = [_draw(domain, chance) for domain in order]
-    seconds = [_draw(domain, chance) for domain in order]
+    order = sorted(domains, key=lambda domain: -math.log(draws.next()) / domain.weight)
+    firsts = [_draw_entry(domain, draws) for domain in order]
+    seconds = [_draw_entry(domain, draws) for domain in order]
     return firsts + [entry for entry in seconds if entry not in firsts]
 
 
-def _draw(domain: _Domain, chance: _Draws) -> LookupEntry:
-    place = bisect_right(domain.sums, chance.next() * domain.weight)
-    return domain.entries[min(place, len(domain.entries) - 1)]
+def _draw_entry(domain: _Domain, draws: _HashDraws) -> LookupEntry:
+    index = bisect_right(domain.sums, draws.next() * domain.weight)
+    return domain.entries[min(index, len(domain.entries) - 1)]
 
 
-def _domain(members: list[EntryView]) -> _Domain:
+def _weigh_entries(members: list[EntryView]) -> _Domain:
     members = sorted(members)
     # Full entries keep a little weight: reports lag, and a load of 1 may be over by now.
-    weights = [max(LEAST_WEIGHT, 1.0 - member.load) for member in members]
-    return _Domain(tuple(_wire(member) for member in members), tuple(accumulate(weights)))
+    weights = [max(MIN_WEIGHT, 1.0 - member.load) for member in members]
+    return _Domain(tuple(_lookup_entry(member) for member in members), tuple(accumulate(weights)))
 
 
-def _wire(entry: EntryView) -> LookupEntry:
+def _lookup_entry(entry: EntryView) -> LookupEntry:
     return LookupEntry(
         address=entry.address,
         port=entry.port,
@@ -165,10 +165,12 @@
     return min(config.regions, default="")
 
 
-def _by_latency(config: EffectiveConfig, name: str) -> tuple[str, ...]:
+def _regions_by_latency(config: EffectiveConfig, name: str) -> tuple[str, ...]:
     latency = config.regions[name].latency_ms
-    far = float("inf")
-    others = sorted(config.regions.keys() - {name}, key=lambda o: (latency.get(o, far), o))
+    infinity = float("inf")
+    others = sorted(
+        config.regions.keys() - {name}, key=lambda other: (latency.get(other, infinity), other)
+    )
     return (name, *others)
 
 
@@ -177,7 +179,7 @@
         HTTPStatus.NOT_FOUND,
         RefusalCode.UNKNOWN_WORKSPACE,
         f"the workspace {workspace[:80]!r} is not configured",
-        _COME_BACK_S,
+        _RETRY_AFTER_S,
     )
 
 
@@ -186,7 +188,7 @@
         HTTPStatus.BAD_REQUEST,
         RefusalCode.BAD_REQUEST,
         str(invalid),
-        _COME_BACK_S,
+        _RETRY_AFTER_S,
     )
 
 
@@ -195,5 +197,5 @@
         HTTPStatus.SERVICE_UNAVAILABLE,
         RefusalCode.NOT_READY,
         "this instance does not know any live entry yet; ask another one",
-        _COME_BACK_S,
+        _RETRY_AFTER_S,
     )
--- a/tests/cover/test_entry_choice.py
+++ b/tests/cover/test_entry_choice.py
@@ -5,13 +5,13 @@
 from random import Random
 
 from wagtailpoint.lookup.entry_choice import (
-    HEADROOM,
+    HEADROOM_FACTOR,
     MIN_CAPABLE_ENTRIES,
     MIN_ENTRIES,
     OVERLOADED_LOAD,
     EntryChoice,
     NearbyEntryCounts,
-    entries_among,
+    choose_entries,
 )
 from wagtailpoint.membership.member import Member
 
@@ -47,36 +47,36 @@
         Callers were told of all instances of their failure domain. Each of them met a backend
         server once in a minute: no connection was used twice, no load was known, nothing learned.
         """
-        chosen = entries_among(unequal(3, 20))
+        chosen = choose_entries(unequal(3, 20))
         self.assertEqual({each.capacity for each in chosen}, {LARGE})
         self.assertEqual(len(chosen), MIN_ENTRIES)
 
     def test_a_weak_third_is_not_named_beside_two_able_ones(self) -> None:
         """Guards against a third of the callers who are all answered late by the weakest entry."""
-        chosen = entries_among(unequal(2, 10))
+        chosen = choose_entries(unequal(2, 10))
         self.assertEqual([each.capacity for each in chosen], [LARGE] * MIN_CAPABLE_ENTRIES)
-        self.assertEqual(len(entries_among(unequal(1, 2))), MIN_CAPABLE_ENTRIES)
+        self.assertEqual(len(choose_entries(unequal(1, 2))), MIN_CAPABLE_ENTRIES)
 
     def test_weak_ones_are_named_when_the_load_needs_them(self) -> None:
         busy = [each._replace(load=0.5) for each in unequal(2, 10)]
-        self.assertGreater(len(entries_among(busy)), MIN_ENTRIES)
+        self.assertGreater(len(choose_entries(busy)), MIN_ENTRIES)
 
     def test_small_deployments_use_all(self) -> None:
         members = unequal(0, MIN_ENTRIES)
-        self.assertCountEqual(entries_among(members), members)
+        self.assertCountEqual(choose_entries(members), members)
 
     def test_without_limits_in_the_settings_all_are_alike(self) -> None:
         members = [make_member(n, capacity=1.0) for n in range(20)]
-        self.assertEqual(len(entries_among(members)), 5)
-        self.assertCountEqual(entries_among(members), entries_among(members[::-1]))
+        self.assertEqual(len(choose_entries(members)), 5)
+        self.assertCountEqual(choose_entries(members), choose_entries(members[::-1]))
 
     def test_no_member_no_entry(self) -> None:
-        self.assertEqual(entries_among([]), [])
+        self.assertEqual(choose_entries([]), [])
 
     def test_lost_entry_is_replaced_and_the_others_stay(self) -> None:
         members = unequal(0, 20)
-        before = entries_among(members)
-        after = entries_among([each for each in members if each != before[0]])
+        before = choose_entries(members)
+        after = choose_entries([each for each in members if each != before[0]])
         self.assertEqual(before[1:], after[: len(before) - 1])
 
 
@@ -86,14 +86,14 @@
         members = [
             each._replace(load=0.8 if each.capacity == LARGE else 0.0) for each in unequal(3, 20)
         ]
-        chosen = entries_among(members)
+        chosen = choose_entries(members)
         capacity = sum(each.capacity for each in chosen)
-        self.assertGreaterEqual(capacity, HEADROOM * 0.8 * 3 * LARGE - SMALL)
+        self.assertGreaterEqual(capacity, HEADROOM_FACTOR * 0.8 * 3 * LARGE - SMALL)
         self.assertGreater(len(chosen), 10)
 
     def test_all_are_entries_when_all_are_overloaded(self) -> None:
         members = [each._replace(load=1.0) for each in unequal(3, 20)]
-        self.assertCountEqual(entries_among(members), members)
+        self.assertCountEqual(choose_entries(members), members)
 
     def test_a_slowed_instance_is_avoided(self) -> None:
         """Symptom: a third of a failure domain's callers wait for seconds.
@@ -103,7 +103,7 @@
         """
         members = unequal(3, 20)
         slowed = members[0]._replace(load=OVERLOADED_LOAD)
-        chosen = entries_among([slowed, *members[1:]])
+        chosen = choose_entries([slowed, *members[1:]])
         self.assertNotIn(slowed, chosen[: MIN_ENTRIES - 1])
         self.assertEqual({each.capacity for each in chosen[:2]}, {LARGE})
 
@@ -115,13 +115,13 @@
 
     def test_own_domain_then_region_then_all(self) -> None:
         here = make_member(1)
-        beside = make_member(2, failure_domain="a-2")
+        others = make_member(2, failure_domain="a-2")
         far = make_member(3, failure_domain="b-1", region="b")
-        choice = self.choice(here, beside, far)
+        choice = self.choice(here, others, far)
         self.assertEqual(choice.nearest("a-1", "a"), [here])
-        self.assertEqual(choice.nearest("a-3", "a"), [here, beside])
-        self.assertEqual(choice.nearest("c-1", "c"), [here, beside, far])
-        self.assertCountEqual(choice.all, [here, beside, far])
+        self.assertEqual(choice.nearest("a-3", "a"), [here, others])
+        self.assertEqual(choice.nearest("c-1", "c"), [here, others, far])
+        self.assertCountEqual(choice.all, [here, others, far])
         around = NearbyEntryCounts(choice=choice, region="a", failure_domain="a-2")
         self.assertEqual((around.everywhere, around.in_region, around.in_domain), (3, 2, 1))
 
