--- a/src/wagtailpoint/discovery/peer_states.py
+++ b/src/wagtailpoint/discovery/peer_states.py
@@ -45,7 +45,7 @@
 
 
 class PeerStateExchange:
-    """Asks peers for states and answers their questions; implements ``kind_state.PeerStates``."""
+    """Asks peers for states and answers them; implements ``discovery.kind_state.PeerStates``."""
 
     def __init__(
         self,
--- a/src/wagtailpoint/lookup/__init__.py
+++ b/src/wagtailpoint/lookup/__init__.py
@@ -1,1 +1,1 @@
-"""Answers to callers that ask which entry instance to use."""
+"""Answers to callers' lookups: the entry instances that a caller may use."""
--- a/src/wagtailpoint/lookup/answer.py
+++ b/src/wagtailpoint/lookup/answer.py
@@ -1,4 +1,4 @@
-"""The lookup's answer on the wire, and what it is made from."""
+"""The format of the lookup's answer, and the view of the instances that it is made from."""
 
 from typing import NamedTuple, TypedDict
 
@@ -7,10 +7,10 @@
     """One entry instance that the caller may use.
 
     Attributes:
-        address: IP number.
+        address: IP address.
         port: TCP port.
-        failure_domain: Where it runs, so that a retry can go to another one.
-        binding: To be sent with the key of a non-idempotent request, see
+        failure_domain: The failure domain that it runs in, so that a retry can go to another one.
+        binding: Value that the caller sends with the key of a non-idempotent request, see
             ``wagtailpoint.idempotency.binding``.
     """
 
@@ -24,9 +24,9 @@
     """The body of ``GET /v1/lookup``.
 
     Attributes:
-        config_version: The version that the answering instance enforces.
+        config_version: The version of the configuration that the answering instance enforces.
         ttl_s: How long the answer may be cached, in seconds.
-        entries: Best first.
+        entries: The entries, best first.
     """
 
     config_version: int
@@ -35,18 +35,18 @@
 
 
 class EntryView(NamedTuple):
-    """What this instance knows of one entry instance; it lags.
+    """This instance's view of an entry instance, which lags behind the entry's real state.
 
     Attributes:
-        address: IP number.
-        port: TCP port towards callers.
-        region: Its region.
-        failure_domain: Its failure domain.
-        incarnation: Its process life.
-        epoch: Its newest epoch that this instance has heard of.
-        leaving: It gets no new callers.
-        alive: It is believed to be alive.
-        load: 0 (idle) to 1 (no headroom).
+        address: IP address.
+        port: TCP port for callers.
+        region: The region that it runs in.
+        failure_domain: The failure domain that it runs in.
+        incarnation: Identifies its process.
+        epoch: Its newest epoch known to this instance.
+        leaving: Whether it is leaving and must get no new callers.
+        alive: Whether membership takes it for alive.
+        load: Load from 0 (idle) to 1 (no headroom).
     """
 
     address: str
--- a/src/wagtailpoint/lookup/blocks.py
+++ b/src/wagtailpoint/lookup/blocks.py
@@ -1,7 +1,7 @@
-"""Client blocks: which region is nearest to a client address.
+"""Client blocks: a table that maps a client address to its nearest region.
 
-Built for hundreds of thousands of blocks. Overlapping prefixes are flattened into disjoint ranges
-in sorted arrays; a change flattens only the blocks that it touches.
+Designed for hundreds of thousands of blocks. Overlapping prefixes are flattened into disjoint
+ranges in sorted arrays; a change flattens only the prefixes that it affects.
 """
 
 from collections.abc import Iterable, Sequence
@@ -60,15 +60,15 @@
 
 
 class ClientBlocks:
-    """The table of all client blocks, IPv4 and IPv6. Never changed after it was made."""
+    """An immutable table of all client blocks, IPv4 and IPv6."""
 
     def __init__(self, *, blocks: Sequence[ClientBlock]) -> None:
-        """Build the table; of equal networks the last counts.
+        """Build the table; if a network occurs twice, its last block counts.
 
         Raises:
             InvalidInput: A network is not in the form ``ADDRESS/LENGTH``.
         """
-        # A `BlockList` stays one: a tuple of 440,000 `ClientBlock`s would take 30 MB.
+        # A `BlockList` is kept as it is: a tuple of 440,000 `ClientBlock`s would take 30 MB.
         self._blocks = _as_immutable(blocks)
         self._names: list[str] = [""]
         self._numbers: dict[str, int] = {}
@@ -79,31 +79,32 @@
                 by_bits[bits][key] = number
         self._families = {}
         for bits in (IPV4_BITS, IPV6_BITS):
-            # Each dict is dropped as soon as its prefixes are in arrays: at hundreds of thousands
-            # of blocks the steps of building would together take more memory than all the rest.
+            # Each dict is released as soon as its prefixes are in arrays: with hundreds of
+            # thousands of blocks the intermediate results together would take more memory than
+            # everything else.
             prefixes = Prefixes(bits=bits, regions=by_bits.pop(bits))
             self._families[bits] = _AddressFamily(bits=bits, prefixes=prefixes)
 
     def __len__(self) -> int:
-        """Ranges after flattening."""
+        """Return the number of ranges after flattening."""
         return sum(len(family.ranges) for family in self._families.values())
 
     @property
     def bytes_used(self) -> int:
-        """Bytes of the arrays that lookups search."""
+        """The size of the arrays that lookups search, in bytes."""
         return sum(family.ranges.bytes_used for family in self._families.values())
 
     def find(self, address: str) -> str | None:
-        """Return the nearest region of a client address; None if no block holds it.
+        """Return the nearest region of a client address; None if no block contains it.
 
         Raises:
-            InvalidInput: The address is not an IP number.
+            InvalidInput: The address is not an IP address.
         """
         bits, number = parse_address(address)
         return self._names[self._families[bits].ranges.find(number)] or None
 
     def with_blocks(self, blocks: Sequence[ClientBlock]) -> "ClientBlocks":
-        """Return the table of other blocks, built from this one if few of them differ.
+        """Return the table of the given blocks, built from this one if few of them differ.
 
         Raises:
             InvalidInput: As in the constructor.
@@ -159,7 +160,7 @@
 def _remove_common_parts(
     old: Sequence[ClientBlock], new: Sequence[ClientBlock]
 ) -> tuple[Sequence[ClientBlock], Sequence[ClientBlock]]:
-    """Return the blocks of two lists, if possible without parts that both have."""
+    """Return the blocks of both lists, without common parts if both are ``BlockList``s."""
     if isinstance(old, BlockList) and isinstance(new, BlockList):
         return old.without(new), new.without(old)
     return old, new
--- a/src/wagtailpoint/lookup/entry_choice.py
+++ b/src/wagtailpoint/lookup/entry_choice.py
@@ -1,7 +1,8 @@
-"""Which instances callers are told to use: as few as the load needs, the most capable first.
+"""Selects the instances that lookups name: as few as the load needs, highest capacity first.
 
-Instances learn from the requests that they get: round trips, caches, loads, connections that are
-used again. Spread over hundreds of instances a deployment's requests teach each of them nothing.
+Instances learn round trips, caches and loads from the requests that they get, and reuse
+connections. If a deployment's requests were spread over hundreds of instances, each would get too
+few of them to learn anything.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -10,65 +11,69 @@
 from wagtailpoint.membership.member import Member, capacity_sort_key
 
 ENTRY_ORDER: Final = "entry"
-"""Names the order by hashing of instances that are equally capable."""
+"""Selects the hash that orders instances of equal capacity."""
 
 MIN_ENTRIES: Final = 3
-"""In a failure domain: the loss of one leaves two thirds of the callers undisturbed."""
+"""Minimum in a failure domain: the loss of one entry does not affect two thirds of the callers."""
 
 MIN_CAPABLE_ENTRIES: Final = 2
 CAPABLE_FRACTION: Final = 0.5
-"""Of the capacity of the most capable one. So many that have it will do instead: callers choose
-among the entries at random, and one that can do much less than the others answers late all that
-come to it. It is named where the load needs it."""
+"""Two entries are enough if all other instances have less than this fraction of the highest
+capacity: callers choose among the entries at random, and an entry with much less capacity than the
+others answers its callers late. Such an instance becomes an entry only if the load needs it."""
 
 MIN_CAPACITY_FRACTION: Final = 0.25
-"""Of a failure domain's capacity. The load of a burst is known to all some seconds after it
-begins; until then the entries must bear it."""
+"""Minimum fraction of a failure domain's capacity that its entries have. All instances know the
+load of a burst only some seconds after it begins; until then the entries must take it."""
 
 HEADROOM_FACTOR: Final = 3.0
-"""The capacity of the entries, in times of what their load takes of it."""
+"""Capacity of the entries as a multiple of the capacity that is in use."""
 
 OVERLOADED_LOAD: Final = 0.85
-"""An instance with so much of its processor in use comes last. Where all are, all are entries."""
+"""An instance with at least this load of its processor comes last in the order of entries. If all
+instances are overloaded, all are entries."""
 
 RELIEF_END_LOAD: Final = 0.4
-"""A failure domain whose entries were all overloaded has its callers to itself again at this mean
-load. Its load falls as soon as others share it."""
+"""A failure domain whose entries are all overloaded shares its callers with its region until their
+mean load is at most this. It is below the overload since sharing alone makes the load fall."""
 
 
 def choose_entries(members: Sequence[Member]) -> list[Member]:
-    """The entries among the live instances of one failure domain, the most capable first.
+    """Choose the entries among the live instances of a failure domain, highest capacity first.
 
-    All instances that see the same members choose the same ones, and a member that comes or goes
-    changes the place of no other.
+    All instances with the same view of the members choose the same entries, and a member that joins
+    or leaves does not change the order of the others.
     """
     ordered = sorted(
         members,
-        key=lambda each: (each.load >= OVERLOADED_LOAD, *capacity_sort_key(each, ENTRY_ORDER)),
+        key=lambda member: (
+            member.load >= OVERLOADED_LOAD,
+            *capacity_sort_key(member, ENTRY_ORDER),
+        ),
     )
-    total = sum(each.capacity for each in members)
-    in_use = sum(each.load * each.capacity for each in members)
+    total = sum(member.capacity for member in members)
+    in_use = sum(member.load * member.capacity for member in members)
     wanted = max(MIN_CAPACITY_FRACTION * total, HEADROOM_FACTOR * in_use)
     chosen: list[Member] = []
     capacity = 0.0
-    for each in ordered:
-        is_capable = each.capacity >= CAPABLE_FRACTION * ordered[0].capacity
+    for member in ordered:
+        is_capable = member.capacity >= CAPABLE_FRACTION * ordered[0].capacity
         min_entries = MIN_ENTRIES if is_capable else MIN_CAPABLE_ENTRIES
         if len(chosen) >= min_entries and capacity >= wanted:
             break
-        chosen.append(each)
-        capacity += each.capacity
+        chosen.append(member)
+        capacity += member.capacity
     return chosen
 
 
 class EntryChoice:
-    """The entries of each failure domain, as this instance sees the members."""
+    """The entries of each failure domain by this instance's view of the members."""
 
     def __init__(self, *, members: Callable[[], tuple[Member, ...]]) -> None:
-        """Make it.
+        """Initialise the choice.
 
         Args:
-            members: The instances, the dead among them; the same object until something changes.
+            members: Returns all instances, including dead ones; the same object until a change.
         """
         self._members = members
         self._seen_members: tuple[Member, ...] = ()
@@ -78,7 +83,7 @@
 
     @property
     def by_domain(self) -> Mapping[str, Sequence[Member]]:
-        """The entries of each failure domain that has any."""
+        """The entries by failure domain, without failure domains that have none."""
         self._refresh()
         return self._by_domain
 
@@ -89,15 +94,15 @@
         return self._all
 
     def includes(self, address: str) -> bool:
-        """Whether an instance is one of them."""
-        return any(each.address == address for each in self.all)
+        """Return whether the instance with an address is an entry."""
+        return any(entry.address == address for entry in self.all)
 
     def _refresh(self) -> None:
         members = self._members()
         if members is not self._seen_members:
             self._seen_members = members
             self._by_domain = _entries_by_domain(members)
-            self._all = [each for found in self._by_domain.values() for each in found]
+            self._all = [entry for found in self._by_domain.values() for entry in found]
             self._relieved_domains = frozenset(
                 domain
                 for domain, found in self._by_domain.items()
@@ -105,48 +110,49 @@
             )
 
     def _needs_relief(self, domain: str, entries: Sequence[Member]) -> bool:
-        """Whether the callers of a failure domain shall use others of its region, too."""
+        """Return whether callers of a failure domain also use other entries of its region."""
         if domain in self._relieved_domains:
-            return sum(each.load for each in entries) > RELIEF_END_LOAD * len(entries)
-        return all(each.load >= OVERLOADED_LOAD for each in entries)
+            return sum(entry.load for entry in entries) > RELIEF_END_LOAD * len(entries)
+        return all(entry.load >= OVERLOADED_LOAD for entry in entries)
 
     def nearest(self, failure_domain: str, region: str) -> Sequence[Member]:
-        """The entries for a caller: of its failure domain, else of its region, else all.
+        """Return the entries for a caller: of its failure domain, else of its region, else all.
 
-        While those of its failure domain are overloaded, others of its region that are not, too.
+        While the entries of its failure domain are overloaded, add those of its region that are
+        not.
         """
         near = self.by_domain.get(failure_domain)
         if near and failure_domain not in self._relieved_domains:
             return near
-        in_region = [each for each in self.all if each.region == region]
+        in_region = [entry for entry in self.all if entry.region == region]
         if not near:
             return in_region or self.all
-        others = (each for each in in_region if each.failure_domain != failure_domain)
-        return [*near, *(each for each in others if each.load < OVERLOADED_LOAD)]
+        others = (entry for entry in in_region if entry.failure_domain != failure_domain)
+        return [*near, *(entry for entry in others if entry.load < OVERLOADED_LOAD)]
 
 
 class NearbyEntryCounts:
-    """How many entries there are around one instance; implements ``placement.EntryCounts``."""
+    """Counts the entries around an instance; implements ``placement.entry_counts.EntryCounts``."""
 
     def __init__(self, *, choice: EntryChoice, region: str, failure_domain: str) -> None:
-        """Make it for an instance at a place."""
+        """Initialise the counts for an instance in a region and failure domain."""
         self._choice = choice
         self._region = region
         self._failure_domain = failure_domain
 
     @property
     def everywhere(self) -> int:
-        """In all regions, at least 1."""
+        """The number of entries in all regions, at least 1."""
         return max(1, len(self._choice.all))
 
     @property
     def in_region(self) -> int:
-        """In the region of the instance, at least 1."""
-        return max(1, sum(each.region == self._region for each in self._choice.all))
+        """The number of entries in the instance's region, at least 1."""
+        return max(1, sum(entry.region == self._region for entry in self._choice.all))
 
     @property
     def in_domain(self) -> int:
-        """In its failure domain, at least 1."""
+        """The number of entries in the instance's failure domain, at least 1."""
         return max(1, len(self._choice.by_domain.get(self._failure_domain, ())))
 
 
--- a/src/wagtailpoint/lookup/prefixes.py
+++ b/src/wagtailpoint/lookup/prefixes.py
@@ -16,7 +16,7 @@
 
 
 class Prefix(NamedTuple):
-    """A block of addresses as numbers."""
+    """A block of addresses: the first address and the length of the prefix, as numbers."""
 
     bits: int
     first: int
@@ -29,7 +29,7 @@
 
     @property
     def key(self) -> int:
-        """Sorts by the first address, and a block before those nested in it."""
+        """The sort key: by first address, and a block before the blocks nested in it."""
         return self.first << _LENGTH_BITS | self.length
 
 
@@ -38,13 +38,13 @@
 
 
 class Prefixes:
-    """All prefixes of one family, in sorted arrays. Never changed after it was made."""
+    """All prefixes of one address family, in sorted arrays; immutable."""
 
     def __init__(self, *, bits: int, regions: Mapping[int, int]) -> None:
-        """Make it from the region of each prefix's key."""
+        """Initialise the prefixes from a mapping of keys to numbers of regions."""
         keys = sorted(regions)
         self._bits = bits
-        # IPv6 keys do not fit into 64 bits; there are few of them.
+        # IPv6 keys do not fit into 64 bits; they are few, so a list will do.
         self._keys: array[int] | list[int] = array("Q", keys) if bits == IPV4_BITS else keys
         self._regions = array("H", [regions[key] for key in keys])
 
@@ -55,13 +55,13 @@
         return self._slice(0, len(self))
 
     def within(self, outer: Prefix) -> Iterator[PlacedPrefix]:
-        """Return the prefix itself, if it is there, and those nested in it, in order."""
+        """Return a prefix, if it is present, and the prefixes nested in it, in order."""
         begin = bisect_left(self._keys, outer.key)
         end = bisect_left(self._keys, (outer.last + 1) << _LENGTH_BITS)
         return self._slice(begin, end)
 
     def covering_region(self, inner: Prefix) -> int:
-        """Return the region of the longest prefix around another one, else ``NO_REGION``."""
+        """Return the region of the longest prefix that contains ``inner``, else ``NO_REGION``."""
         for length in range(inner.length - 1, -1, -1):
             shift = self._bits - length
             key = Prefix(self._bits, inner.first >> shift << shift, length).key
@@ -71,7 +71,7 @@
         return NO_REGION
 
     def with_changes(self, changes: Mapping[int, int | None]) -> "Prefixes":
-        """Return a copy in which some keys have another region, or None: are gone."""
+        """Return a copy with other regions for some keys; None removes a key."""
         copy = Prefixes(bits=self._bits, regions={})
         copy._keys = self._keys[:]
         copy._regions = self._regions[:]
@@ -104,16 +104,17 @@
     """Turn nested prefixes into disjoint ranges; the longest prefix wins.
 
     Args:
-        placed: In order. They nest or are disjoint, so a stack of the open ones is enough.
-        bits: Of an address.
-        first: Where the first range begins.
-        last: Where the last one ends.
-        base: The region outside of all of them.
+        placed: The prefixes in order. Any two are nested or disjoint, so a stack of the open ones
+            is enough.
+        bits: Number of bits of an address.
+        first: First address of the first range.
+        last: Last address of the last range.
+        base: The region of addresses outside all prefixes.
 
     Returns:
         The starts of the ranges and their regions.
     """
-    # Plain numbers and no objects for each prefix: there are hundreds of thousands.
+    # Numbers instead of an object for each prefix: there are hundreds of thousands.
     starts: array[int] | list[int] = array("Q", [first]) if bits == IPV4_BITS else [first]
     regions = array("H", [base])
     open_lasts, open_regions = [last], [base]
@@ -144,28 +145,28 @@
 
 
 def parse_address(text: str) -> tuple[int, int]:
-    """Return the family's bits and the address as a number.
+    """Return the bits of the address family, and the address as a number.
 
     Raises:
-        InvalidInput: It is not an IP number.
+        InvalidInput: The text is not an IP address.
     """
     family = socket.AF_INET6 if ":" in text else socket.AF_INET
     try:
         packed = socket.inet_pton(family, text)
     except (OSError, ValueError):
-        mistake = Mistake("address", repr(text[:80]), "an IPv4 or IPv6 number")
+        mistake = Mistake("address", repr(text[:80]), "an IPv4 or IPv6 address")
         raise InvalidInput([mistake]) from None
     return len(packed) * 8, int.from_bytes(packed, "big")
 
 
 def network_key(text: str) -> tuple[int, int]:
-    """Read ``ADDRESS/LENGTH``; bits after the length are dropped.
+    """Parse ``ADDRESS/LENGTH``; address bits after the length are ignored.
 
     Returns:
-        The family's bits, and the key of the prefix.
+        The bits of the address family, and the key of the prefix.
 
     Raises:
-        InvalidInput: It has another form.
+        InvalidInput: The text has another form.
     """
     address, _, length_text = text.partition("/")
     bits, number = parse_address(address)
@@ -178,5 +179,5 @@
 
 
 def parse_network(text: str) -> Prefix:
-    """Like ``network_key``, as a prefix."""
+    """Parse ``ADDRESS/LENGTH`` like ``network_key``, and return a prefix."""
     return prefix_from_key(*network_key(text))
--- a/src/wagtailpoint/lookup/ranges.py
+++ b/src/wagtailpoint/lookup/ranges.py
@@ -11,7 +11,7 @@
 
 
 class Ranges:
-    """Each range holds from its start to the next one's; the first starts at address 0."""
+    """Maps each range to a region; a range ends before the next start, the first starts at 0."""
 
     def __init__(self, *, bits: int, starts: Sequence[int], regions: Sequence[int]) -> None:
         self._bits = bits
@@ -23,16 +23,16 @@
 
     @property
     def bytes_used(self) -> int:
-        """Bytes of all arrays."""
+        """The size of all arrays, in bytes."""
         arrays = (self._high, self._low, self._regions)
-        return sum(len(part) * part.itemsize for part in arrays if part is not None)
+        return sum(len(values) * values.itemsize for values in arrays if values is not None)
 
     def find(self, address: int) -> int:
-        """Return the number of the region that holds an address."""
+        """Return the number of an address's region."""
         return self._regions[self._index_after(address) - 1]
 
     def copy(self) -> "Ranges":
-        """Return a copy, to be changed by ``replace``."""
+        """Return a copy that ``replace`` may change."""
         copy = Ranges(bits=self._bits, starts=(), regions=())
         copy._high = self._high[:]
         copy._low = None if self._low is None else self._low[:]
@@ -42,12 +42,12 @@
     def replace(
         self, *, first: int, last: int, starts: Sequence[int], regions: Sequence[int]
     ) -> None:
-        """Put other ranges between two addresses; what lies outside stays as it is."""
+        """Replace the ranges between two addresses; addresses outside keep their regions."""
         begin = self._index_after(first - 1) if first else 0
         end = self._index_after(last)
         starts, regions = list(starts), list(regions)
         if last + 1 < 1 << self._bits and self._index_after(last + 1) == end:
-            # The old range went on beyond `last`: its rest needs a start of its own.
+            # The old range extends beyond `last`: the rest needs a new start.
             starts.append(last + 1)
             regions.append(self._regions[end - 1])
         high, low = _arrays(self._bits, starts)
@@ -57,7 +57,7 @@
         self._regions[begin:end] = array("H", regions)
 
     def _index_after(self, address: int) -> int:
-        """Return the place of the first start beyond an address."""
+        """Return the index of the first start after an address."""
         if self._low is None:
             return bisect_right(self._high, address)
         high = address >> _LOW_BITS
--- a/src/wagtailpoint/lookup/table.py
+++ b/src/wagtailpoint/lookup/table.py
@@ -1,4 +1,4 @@
-"""Which entry instances a caller shall use: nearest region first, spread by weight."""
+"""Selects the entry instances for a caller: nearest region first, weighted by free capacity."""
 
 import math
 from bisect import bisect_right
@@ -25,7 +25,7 @@
 
 
 class _Domain(NamedTuple):
-    """The usable entries of one failure domain, with their running sums of weights."""
+    """The usable entries of one failure domain, with the cumulative sums of their weights."""
 
     entries: tuple[LookupEntry, ...]
     sums: tuple[float, ...]
@@ -36,7 +36,7 @@
 
 
 class LookupTable:
-    """Answers lookups from memory only."""
+    """Answers lookups from memory, without any input or output."""
 
     def __init__(
         self,
@@ -47,16 +47,18 @@
         blocks: ClientBlocks | None = None,
         seed: int = 0,
     ) -> None:
-        """Make a table without entries; every answer is a 503 until ``update``.
+        """Initialise a table without entries, which answers 503 until ``update`` is called.
 
         Args:
             config: The effective configuration.
-            own_failure_domain: Of this instance; stands in for clients in no block.
-            ttl_s: How long callers may cache an answer, in seconds. A leaving entry is still
-                asked for that long.
-            blocks: The table of these client blocks, if there is one (see
-                ``ClientBlocks.with_blocks``), to save building it.
-            seed: The same on all instances, so that a caller is told the same entries by each.
+            own_failure_domain: This instance's failure domain; clients in no block count as
+                clients of its region.
+            ttl_s: How long callers may cache an answer, in seconds. A leaving entry still gets
+                requests for this time.
+            blocks: The table of the configuration's client blocks, if it was built before (see
+                ``ClientBlocks.with_blocks``).
+            seed: Seed of the weighted choice. All instances use the same, so that they give a
+                caller the same entries.
         """
         self._config = config
         self._blocks = ClientBlocks(blocks=config.client_blocks) if blocks is None else blocks
@@ -72,7 +74,7 @@
         return self._blocks
 
     def update(self, entries: Sequence[EntryView]) -> None:
-        """Take a new view of all entry instances; cheap enough for every change."""
+        """Replace the view of all entry instances; cheap enough to be called for every change."""
         usable: dict[tuple[str, str], list[EntryView]] = {}
         for entry in entries:
             if entry.alive and not entry.leaving:
@@ -101,8 +103,8 @@
         )
 
     def _rank(self, region: str, address: str) -> list[LookupEntry]:
-        # Drawn by the client's address, so that it is always told the same entry (its connections
-        # stay warm) while the clients together spread by weight, however long they cache.
+        # The draws depend on the client's address: a client always gets the same entries and can
+        # reuse its connections, and all clients together spread by weight however long they cache.
         draws = _HashDraws(f"{self._seed} {address}")
         ranked: list[LookupEntry] = []
         for name in self._orders.get(region, ()):
@@ -113,7 +115,7 @@
 
 
 class _HashDraws:
-    """Even draws between 0 (excluded) and 1 out of a hash: cheaper than to seed a generator."""
+    """Uniform draws from a hash, above 0 and up to 1; cheaper than seeding a generator."""
 
     def __init__(self, text: str) -> None:
         self._text = text.encode()
@@ -129,8 +131,8 @@
 
 
 def _pick_entries(domains: list[_Domain], draws: _HashDraws) -> list[LookupEntry]:
-    """Pick one entry of each failure domain, then second ones, the domains in weighted order."""
-    # Exponential keys divided by weights: the order of weighted draws without replacement.
+    """Pick an entry of each failure domain, then a second one, the domains in weighted order."""
+    # Sorting by exponential draws divided by weights is weighted sampling without replacement.
     order = sorted(domains, key=lambda domain: -math.log(draws.next()) / domain.weight)
     firsts = [_draw_entry(domain, draws) for domain in order]
     seconds = [_draw_entry(domain, draws) for domain in order]
@@ -144,7 +146,7 @@
 
 def _weigh_entries(members: list[EntryView]) -> _Domain:
     members = sorted(members)
-    # Full entries keep a little weight: reports lag, and a load of 1 may be over by now.
+    # Fully loaded entries keep a small weight: reports lag, and a load of 1 may be over.
     weights = [max(MIN_WEIGHT, 1.0 - member.load) for member in members]
     return _Domain(tuple(_lookup_entry(member) for member in members), tuple(accumulate(weights)))
 
--- a/tests/cover/test_entry_choice.py
+++ b/tests/cover/test_entry_choice.py
@@ -1,4 +1,4 @@
-"""Which instances callers are told to use."""
+"""The choice of the instances that lookups name."""
 
 import unittest
 from collections import Counter
@@ -36,76 +36,77 @@
     return member._replace(**changes)
 
 
-def unequal(large: int, small: int) -> list[Member]:
+def make_members(large: int, small: int) -> list[Member]:
     return [make_member(n, capacity=LARGE if n < large else SMALL) for n in range(large + small)]
 
 
 class FewEntriesTest(unittest.TestCase):
-    def test_most_capable_ones_are_used(self) -> None:
-        """Symptom: hundreds of instances got a few requests a second each.
+    def test_instances_with_the_highest_capacity_are_chosen(self) -> None:
+        """Guards against spreading the requests over hundreds of instances.
 
-        Callers were told of all instances of their failure domain. Each of them met a backend
-        server once in a minute: no connection was used twice, no load was known, nothing learned.
+        If lookups name all instances of a failure domain, each gets a few requests a second and
+        uses a backend server once a minute. It then reuses no connection and learns no load.
         """
-        chosen = choose_entries(unequal(3, 20))
-        self.assertEqual({each.capacity for each in chosen}, {LARGE})
+        chosen = choose_entries(make_members(3, 20))
+        self.assertEqual({member.capacity for member in chosen}, {LARGE})
         self.assertEqual(len(chosen), MIN_ENTRIES)
 
-    def test_a_weak_third_is_not_named_beside_two_able_ones(self) -> None:
-        """Guards against a third of the callers who are all answered late by the weakest entry."""
-        chosen = choose_entries(unequal(2, 10))
-        self.assertEqual([each.capacity for each in chosen], [LARGE] * MIN_CAPABLE_ENTRIES)
-        self.assertEqual(len(choose_entries(unequal(1, 2))), MIN_CAPABLE_ENTRIES)
+    def test_instance_of_low_capacity_does_not_join_two_capable_entries(self) -> None:
+        """Guards against an entry of low capacity that answers a third of the callers late."""
+        chosen = choose_entries(make_members(2, 10))
+        self.assertEqual([member.capacity for member in chosen], [LARGE] * MIN_CAPABLE_ENTRIES)
+        self.assertEqual(len(choose_entries(make_members(1, 2))), MIN_CAPABLE_ENTRIES)
 
-    def test_weak_ones_are_named_when_the_load_needs_them(self) -> None:
-        busy = [each._replace(load=0.5) for each in unequal(2, 10)]
+    def test_instances_of_low_capacity_are_chosen_when_the_load_needs_them(self) -> None:
+        busy = [member._replace(load=0.5) for member in make_members(2, 10)]
         self.assertGreater(len(choose_entries(busy)), MIN_ENTRIES)
 
-    def test_small_deployments_use_all(self) -> None:
-        members = unequal(0, MIN_ENTRIES)
+    def test_small_failure_domain_uses_all_instances(self) -> None:
+        members = make_members(0, MIN_ENTRIES)
         self.assertCountEqual(choose_entries(members), members)
 
-    def test_without_limits_in_the_settings_all_are_alike(self) -> None:
+    def test_equal_capacity_without_limits_in_the_settings(self) -> None:
         members = [make_member(n, capacity=1.0) for n in range(20)]
         self.assertEqual(len(choose_entries(members)), 5)
         self.assertCountEqual(choose_entries(members), choose_entries(members[::-1]))
 
-    def test_no_member_no_entry(self) -> None:
+    def test_no_entries_without_members(self) -> None:
         self.assertEqual(choose_entries([]), [])
 
     def test_lost_entry_is_replaced_and_the_others_stay(self) -> None:
-        members = unequal(0, 20)
+        members = make_members(0, 20)
         before = choose_entries(members)
-        after = choose_entries([each for each in members if each != before[0]])
+        after = choose_entries([member for member in members if member != before[0]])
         self.assertEqual(before[1:], after[: len(before) - 1])
 
 
-class LoadOfABurstTest(unittest.TestCase):
+class BurstLoadTest(unittest.TestCase):
     def test_entries_are_added_with_the_load(self) -> None:
-        """The load of a burst: three entries bear at first what soon is spread over many."""
+        """Guards against three entries that stay alone with the load of a burst."""
         members = [
-            each._replace(load=0.8 if each.capacity == LARGE else 0.0) for each in unequal(3, 20)
+            member._replace(load=0.8 if member.capacity == LARGE else 0.0)
+            for member in make_members(3, 20)
         ]
         chosen = choose_entries(members)
-        capacity = sum(each.capacity for each in chosen)
+        capacity = sum(member.capacity for member in chosen)
         self.assertGreaterEqual(capacity, HEADROOM_FACTOR * 0.8 * 3 * LARGE - SMALL)
         self.assertGreater(len(chosen), 10)
 
     def test_all_are_entries_when_all_are_overloaded(self) -> None:
-        members = [each._replace(load=1.0) for each in unequal(3, 20)]
+        members = [member._replace(load=1.0) for member in make_members(3, 20)]
         self.assertCountEqual(choose_entries(members), members)
 
-    def test_a_slowed_instance_is_avoided(self) -> None:
-        """Symptom: a third of a failure domain's callers wait for seconds.
+    def test_overloaded_instance_comes_last(self) -> None:
+        """Guards against delays of seconds for a third of a failure domain's callers.
 
-        One of the three entries gets no processor time. It stays the most capable one by its
-        settings, so callers would be sent there for as long as it is slow.
+        One of the three entries gets no processor time. By its settings it still has the highest
+        capacity, so it must lose its place for its load.
         """
-        members = unequal(3, 20)
-        slowed = members[0]._replace(load=OVERLOADED_LOAD)
-        chosen = choose_entries([slowed, *members[1:]])
-        self.assertNotIn(slowed, chosen[: MIN_ENTRIES - 1])
-        self.assertEqual({each.capacity for each in chosen[:2]}, {LARGE})
+        members = make_members(3, 20)
+        overloaded = members[0]._replace(load=OVERLOADED_LOAD)
+        chosen = choose_entries([overloaded, *members[1:]])
+        self.assertNotIn(overloaded, chosen[: MIN_ENTRIES - 1])
+        self.assertEqual({member.capacity for member in chosen[:2]}, {LARGE})
 
 
 class NearestEntriesTest(unittest.TestCase):
@@ -113,7 +114,7 @@
         seen = tuple(members)
         return EntryChoice(members=lambda: seen)
 
-    def test_own_domain_then_region_then_all(self) -> None:
+    def test_own_failure_domain_then_region_then_all(self) -> None:
         here = make_member(1)
         others = make_member(2, failure_domain="a-2")
         far = make_member(3, failure_domain="b-1", region="b")
@@ -125,8 +126,8 @@
         around = NearbyEntryCounts(choice=choice, region="a", failure_domain="a-2")
         self.assertEqual((around.everywhere, around.in_region, around.in_domain), (3, 2, 1))
 
-    def test_overloaded_domain_shares_its_callers_with_the_region(self) -> None:
-        """Guards against a lone instance that answers seconds late beside idle ones."""
+    def test_overloaded_failure_domain_shares_its_callers_with_the_region(self) -> None:
+        """Guards against a single entry that answers seconds late while others are idle."""
         members = [
             make_member(1, load=0.9),
             make_member(2, failure_domain="a-2", load=0.3),
@@ -144,7 +145,7 @@
             expected = [members[0], idle] if shared else [members[0]]
             self.assertEqual(choice.nearest("a-1", "a"), expected, load)
 
-    def test_who_leaves_starts_or_is_suspect_is_no_entry(self) -> None:
+    def test_only_live_and_unsuspected_instances_are_entries(self) -> None:
         here = make_member(1)
         others = [
             make_member(2, state="leaving"),
@@ -154,9 +155,9 @@
         ]
         choice = self.choice(here, *others)
         self.assertEqual(choice.nearest("a-1", "a"), [here])
-        self.assertFalse(any(choice.includes(each.address) for each in others))
+        self.assertFalse(any(choice.includes(member.address) for member in others))
 
-    def test_hundreds_of_instances_agree_whatever_the_order(self) -> None:
+    def test_choice_does_not_depend_on_the_order_of_members(self) -> None:
         random = Random(1)
         members = [
             make_member(n, address=f"127.0.{n // 250}.{n % 250 + 1}", failure_domain=f"a-{n % 9}")
@@ -166,5 +167,5 @@
         for _ in range(5):
             random.shuffle(members)
             entries = self.choice(*members).by_domain["a-1"]
-            found[frozenset(each.address for each in entries)] += 1
+            found[frozenset(entry.address for entry in entries)] += 1
         self.assertEqual(len(found), 1)
--- a/tests/cover/test_lookup.py
+++ b/tests/cover/test_lookup.py
@@ -58,49 +58,51 @@
         }
         self.assertEqual({address: blocks.find(address) for address in expected}, expected)
 
-    def test_agrees_with_a_search_through_all_blocks(self) -> None:
-        chance = random.Random(5)
+    def test_agrees_with_a_linear_search(self) -> None:
+        rng = random.Random(5)
         for bits, kind in ((32, ipaddress.IPv4Address), (128, ipaddress.IPv6Address)):
             networks = {}
             for _ in range(300):
-                length = chance.randrange(bits - 12, bits + 1)
-                number = chance.randrange(1 << 12) >> (bits - length) << (bits - length)
-                networks[f"{kind(number)}/{length}"] = chance.choice(sorted(REGIONS))
+                length = rng.randrange(bits - 12, bits + 1)
+                number = rng.randrange(1 << 12) >> (bits - length) << (bits - length)
+                networks[f"{kind(number)}/{length}"] = rng.choice(sorted(REGIONS))
             blocks = ClientBlocks(blocks=[ClientBlock(*item) for item in networks.items()])
             parsed = [(ipaddress.ip_network(text), region) for text, region in networks.items()]
             for number in range(1 << 12):
-                holding = [one for one in parsed if kind(number) in one[0]]
-                longest = max(holding, key=lambda one: one[0].prefixlen, default=(None, None))
+                containing = [block for block in parsed if kind(number) in block[0]]
+                longest = max(
+                    containing, key=lambda block: block[0].prefixlen, default=(None, None)
+                )
                 self.assertEqual(blocks.find(str(kind(number))), longest[1], number)
 
-    def test_changes_agree_with_a_table_built_anew(self) -> None:
-        """Clients are sent to a far region after a change of nested blocks."""
-        chance = random.Random(6)
+    def test_changed_table_agrees_with_a_new_one(self) -> None:
+        """Guards against clients sent to a distant region after a change of nested blocks."""
+        rng = random.Random(6)
         for bits, kind in ((32, ipaddress.IPv4Address), (128, ipaddress.IPv6Address)):
             current: dict[str, str] = {}
             table = ClientBlocks(blocks=[])
             for _ in range(150):
-                for _ in range(chance.randrange(1, 4)):
-                    length = bits if chance.random() < 0.1 else chance.randrange(bits - 8, bits)
-                    number = chance.randrange(1 << 8) >> (bits - length) << (bits - length)
-                    base = chance.choice([0, (1 << bits) - 256])
+                for _ in range(rng.randrange(1, 4)):
+                    length = bits if rng.random() < 0.1 else rng.randrange(bits - 8, bits)
+                    number = rng.randrange(1 << 8) >> (bits - length) << (bits - length)
+                    base = rng.choice([0, (1 << bits) - 256])
                     network = f"{kind(base + number)}/{length}"
-                    if current.pop(network, None) is None or chance.random() < 0.3:
-                        current[network] = chance.choice(sorted(REGIONS))
+                    if current.pop(network, None) is None or rng.random() < 0.3:
+                        current[network] = rng.choice(sorted(REGIONS))
                 blocks = [ClientBlock(*item) for item in current.items()]
                 table = table.with_blocks(blocks)
-                anew = ClientBlocks(blocks=blocks)
+                rebuilt = ClientBlocks(blocks=blocks)
                 for offset in range(0, 260):
                     for number in (offset, (1 << bits) - 1 - offset):
                         address = str(kind(number))
-                        self.assertEqual(table.find(address), anew.find(address), address)
+                        self.assertEqual(table.find(address), rebuilt.find(address), address)
 
     def test_same_blocks_give_the_same_table(self) -> None:
         blocks = [ClientBlock("10.0.0.0/8", "kolkata")]
         table = ClientBlocks(blocks=blocks)
         self.assertIs(table.with_blocks(list(blocks)), table)
 
-    def test_mistakes_are_named(self) -> None:
+    def test_invalid_networks_are_refused(self) -> None:
         for network in ("10.0.0.0", "10.0.0.0/33", "10.0.0/8", "::/129"):
             with self.assertRaises(InvalidInput, msg=network):
                 ClientBlocks(blocks=[ClientBlock(network, "kolkata")])
@@ -136,17 +138,17 @@
         self.assertEqual(domains[2:], ["bidhannagar", "matigara"])
         self.assertIn(f"{1:016x}.3", [entry["binding"] for entry in self.ask()])
 
-    def test_client_in_no_block_gets_the_own_region(self) -> None:
+    def test_client_in_no_block_gets_the_region_of_the_instance(self) -> None:
         self.table.update(self.full_view())
         self.assertEqual(self.ask("192.0.2.1")[0]["failure_domain"], "bidhannagar")
 
-    def test_dead_and_leaving_are_absent(self) -> None:
+    def test_dead_and_leaving_entries_are_left_out(self) -> None:
         dead = self.view(1, "kolkata", "salt-lake", alive=False)
         leaving = self.view(2, "kolkata", "new-town", leaving=True)
         self.table.update([dead, leaving, self.view(3, "siliguri", "matigara")])
         self.assertEqual([entry["address"] for entry in self.ask()], ["127.0.0.3"])
 
-    def test_clients_spread_by_headroom_and_each_keeps_its_entry(self) -> None:
+    def test_clients_spread_by_free_capacity_and_keep_their_entry(self) -> None:
         busy = self.view(1, "kolkata", "salt-lake", load=0.75)
         idle = self.view(2, "kolkata", "salt-lake", load=0.0)
         self.table.update([busy, idle])
