--- a/src/wagtailpoint/discovery/fleet.py
+++ b/src/wagtailpoint/discovery/fleet.py
@@ -80,7 +80,7 @@
         return self._candidates.get(service, ())
 
     def takes_work(self, entry: ServerEntry) -> bool:
-        """Return whether a backend server has not restarted and may take new requests."""
+        """Return whether the backend server may take new requests and has not restarted since."""
         known = self._entries.get(entry.server_id)
         return known is not None and known.start == entry.start and self._is_usable(known)
 
--- a/src/wagtailpoint/discovery/follower.py
+++ b/src/wagtailpoint/discovery/follower.py
@@ -1,4 +1,4 @@
-"""Follows all objects of one kind in the platform's store, and with its peers' help without it."""
+"""Follows all objects of one kind in the store, or through peers while it can't be reached."""
 
 from collections.abc import Callable, Mapping
 from random import Random
@@ -24,7 +24,7 @@
 BATCH_DELAY_S = 0.25
 """Delay between an answer with events and the next watch, so that later events share one answer.
 Backend servers that start or leave one after the other cause a burst of events, and each answer to
-a watch is a priced call. An event that follows none within the delay is not delayed."""
+a watch is a priced call. An event after a quiet time is not delayed."""
 
 RETRY_DELAY_S = 0.2
 MAX_RETRY_DELAY_S = 3.0
@@ -149,7 +149,7 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether the store is reachable and no removal is held back after an outage."""
+        """Whether the store is reachable, and removals are neither held back nor in doubt."""
         trusts = trio.current_time() >= self._removals_trusted_from
         return self.has_state and self._lost_at is None and not self._held_removals and trusts
 
@@ -248,7 +248,7 @@
 
     async def _watch(self) -> WatchTooOld | PlatformUnavailable | None:
         start_version = self._version
-        batch = await self._watch_until_failure(start_version)
+        batch = await self._watch_with_check(start_version)
         if batch is None:
             return None
         if isinstance(batch, Err):
@@ -272,7 +272,7 @@
             await trio.sleep(BATCH_DELAY_S)
         return None
 
-    async def _watch_until_failure(
+    async def _watch_with_check(
         self, version: int
     ) -> Result[WatchBatch, WatchTooOld | PlatformUnavailable] | None:
         """Watch until events arrive or the store stops answering; return None if cancelled."""
--- a/src/wagtailpoint/discovery/freshness.py
+++ b/src/wagtailpoint/discovery/freshness.py
@@ -114,7 +114,7 @@
         return PeerProof(self._proof.version, asked_at - self._proof.newest_at)
 
     def _apply_pending_proof(self) -> None:
-        awaited = self._pending_proof
-        if awaited is not None and awaited.version <= self._version():
+        pending = self._pending_proof
+        if pending is not None and pending.version <= self._version():
             self._pending_proof = None
-            self.record_proof(awaited.version, awaited.newest_at)
+            self.record_proof(pending.version, pending.newest_at)
--- a/src/wagtailpoint/discovery/lost_registrations.py
+++ b/src/wagtailpoint/discovery/lost_registrations.py
@@ -68,7 +68,7 @@
             registered = read_registered(stored)
             if registered is None or registered.address not in addresses:
                 continue
-            # Only the version that was read: a process that has just started has written a new one.
+            # Only the version that was read: a restarted process may have written a new one.
             removed = await self._platform.delete(
                 kind=INSTANCES_KIND, name=stored.name, if_version=stored.version
             )
--- a/src/wagtailpoint/discovery/watch_sharing.py
+++ b/src/wagtailpoint/discovery/watch_sharing.py
@@ -138,7 +138,7 @@
         self._answering = [False] * SOURCE_COUNT
         self._ordered_members: Sequence[Member] = ()
         self._watch_order: Sequence[Member] = ()
-        self._began_at = math.inf
+        self._started_at = math.inf
         self._source_missing_since: float | None = None
         self._asked_until = -math.inf
         self._declined_until: dict[str, float] = {}
@@ -148,7 +148,7 @@
 
     async def run(self) -> None:
         """Ask sources and answer questions until cancelled."""
-        self._began_at = trio.current_time()
+        self._started_at = trio.current_time()
         async with trio.open_nursery() as nursery:
             for number in range(SOURCE_COUNT):
                 nursery.start_soon(self._poll_source, number)
@@ -225,8 +225,8 @@
             not any(self._answering) or now - self._source_missing_since >= SINGLE_SOURCE_TIMEOUT_S
         )
 
-    def _is_starting(self, for_s: float) -> bool:
-        return trio.current_time() - self._began_at < for_s
+    def _is_starting(self, delay_s: float) -> bool:
+        return trio.current_time() - self._started_at < delay_s
 
     def is_watcher(self) -> bool:
         """Return whether this instance is among the watchers of its region."""
@@ -241,15 +241,15 @@
             return None
         own = self._membership.own.address
         live = self._live_in_order()
-        able = [
+        candidates = [
             member
             for member in live
             if member.address != own and self._declined_until.get(member.address, 0.0) <= now
         ]
-        sources = able[: watcher_count(len(live))]
+        sources = candidates[: watcher_count(len(live))]
         # Instances ask different pairs of watchers, so that the questions are spread.
-        first = rendezvous_score("source", own)
-        return sources[(first + number) % len(sources)].peer_address if sources else None
+        offset = rendezvous_score("source", own)
+        return sources[(offset + number) % len(sources)].peer_address if sources else None
 
     def _live_in_order(self) -> Sequence[Member]:
         """Return the region's live members, in the same order for the same view of the members."""
--- a/src/wagtailpoint/lookup/blocks.py
+++ b/src/wagtailpoint/lookup/blocks.py
@@ -21,6 +21,7 @@
 )
 from wagtailpoint.lookup.ranges import Ranges
 
+# With more changed or compared blocks than this the table is built from scratch.
 _MAX_CHANGED_BLOCKS = 2_000
 _MAX_COMPARED_BLOCKS = 50_000
 _KeyChanges = dict[int, dict[int, int | None]]
--- a/src/wagtailpoint/lookup/entry_choice.py
+++ b/src/wagtailpoint/lookup/entry_choice.py
@@ -14,7 +14,7 @@
 """Selects the hash that orders instances of equal capacity."""
 
 MIN_ENTRIES: Final = 3
-"""Minimum in a failure domain: the loss of one entry does not affect two thirds of the callers."""
+"""Minimum in a failure domain: two thirds of its callers are not affected by the loss of one."""
 
 MIN_CAPABLE_ENTRIES: Final = 2
 CAPABLE_FRACTION: Final = 0.5
