--- a/src/wagtailpoint/discovery/fleet.py
+++ b/src/wagtailpoint/discovery/fleet.py
@@ -76,7 +76,7 @@
         """Return the backend servers of a service that may take new requests."""
         if self._are_candidates_stale:
             # Rebuilt on use: an instance without requests still receives hundreds of changes.
-            self._rebuild_candidates()
+            self._rebuild()
         return self._candidates.get(service, ())
 
     def takes_work(self, entry: ServerEntry) -> bool:
@@ -176,7 +176,7 @@
         log_event("evacuations", domains=",".join(sorted(failure_domains)))
         self._invalidate_candidates()
 
-    def _rebuild_candidates(self) -> None:
+    def _rebuild(self) -> None:
         by_service: dict[str, list[Candidate]] = {}
         for entry in self._entries.values():
             if not self._is_usable(entry):
