--- a/src/wagtailpoint/membership/change.py
+++ b/src/wagtailpoint/membership/change.py
@@ -58,7 +58,7 @@
     return str(ip_address(packed))
 
 
-def change_of(fact: Fact) -> Change:
+def extract_change(fact: Fact) -> Change:
     """Return the changeable part of a fact."""
     return Change(
         packed_address=pack_address(fact.address),
@@ -72,7 +72,7 @@
     )
 
 
-def changed_fact(known: Fact, change: Change) -> Fact | None:
+def apply_change(known: Fact, change: Change) -> Fact | None:
     """Return the fact that a change makes of the known one; None if it is about another process."""
     if change.tag != known.incarnation & _TAG_MASK or not 0 <= change.state < len(_STATES):
         return None
--- a/src/wagtailpoint/membership/config_delta.py
+++ b/src/wagtailpoint/membership/config_delta.py
@@ -10,8 +10,8 @@
 from wagtailpoint.config.manifest import ChangeInfo, Snapshot, changed_keys, hash_of
 from wagtailpoint.config.packed import pack
 
-MOST_DELTAS_KEPT = 256
-MOST_DELTA_BYTES = 64 << 20
+MAX_HISTORY_STEPS = 256
+MAX_DELTA_BYTES = 64 << 20
 
 
 class BrokenDelta(Exception):
@@ -74,7 +74,7 @@
     """
     unpacker = zlib.decompressobj()
     try:
-        delta = _decoder.decode(unpacker.decompress(data, MOST_DELTA_BYTES))
+        delta = _decoder.decode(unpacker.decompress(data, MAX_DELTA_BYTES))
     except (zlib.error, msgspec.MsgspecError) as error:
         raise BrokenDelta(f"given {len(data)} bytes that cannot be read: {error}") from error
     objects = dict(base.objects) if base is not None else {}
@@ -100,7 +100,7 @@
         """Remember a step from one version to a newer one."""
         changed = changed_keys(older.content_hashes, newer.content_hashes)
         self._steps.append(_Step(older.change.version, changed))
-        del self._steps[:-MOST_DELTAS_KEPT]
+        del self._steps[:-MAX_HISTORY_STEPS]
 
     def changed_since(self, version: int) -> frozenset[str] | None:
         """Return what changed since a version, perhaps more; None if that is not known."""
--- a/src/wagtailpoint/membership/config_messages.py
+++ b/src/wagtailpoint/membership/config_messages.py
@@ -6,13 +6,13 @@
 from wagtailpoint.ports.peers import register_message
 
 
-class ConfigHave(NamedTuple):
+class ConfigAnnouncement(NamedTuple):
     """Tells that the sender has a version."""
 
     version: int
 
 
-class ConfigAsk(NamedTuple):
+class ConfigRequest(NamedTuple):
     """Asks for one part of what leads from one version to a newer one.
 
     Attributes:
@@ -45,6 +45,6 @@
     data: bytes
 
 
-register_message("config-have", ConfigHave)
-register_message("config-ask", ConfigAsk)
+register_message("config-have", ConfigAnnouncement)
+register_message("config-ask", ConfigRequest)
 register_message("config-part", ConfigPart)
--- a/src/wagtailpoint/membership/config_spread.py
+++ b/src/wagtailpoint/membership/config_spread.py
@@ -22,15 +22,15 @@
     compute_digest,
     encode_delta,
 )
-from wagtailpoint.membership.config_messages import ConfigAsk, ConfigHave, ConfigPart
+from wagtailpoint.membership.config_messages import ConfigAnnouncement, ConfigPart, ConfigRequest
 from wagtailpoint.membership.service import Membership
 from wagtailpoint.observe.log import log_event
 from wagtailpoint.ports.peers import PeerAddress, Peers, Received
 
 PART_BYTES = 256 << 10
-MOST_ENCODED_KEPT = 4
-MOST_TOLD_KEPT = 64
-NOTHING = ConfigPart(change=None, from_version=0, digest=b"", parts=0, data=b"")
+MAX_ENCODED_DELTAS = 4
+MAX_ANNOUNCEMENTS = 64
+NO_PART = ConfigPart(change=None, from_version=0, digest=b"", parts=0, data=b"")
 
 
 class ConfigSpreadSettings(NamedTuple):
@@ -86,13 +86,13 @@
         self._current: Snapshot | None = None
         self._history = DeltaHistory()
         self._encoded: OrderedDict[tuple[int, int], _Encoded] = OrderedDict()
-        self._told: OrderedDict[PeerAddress, int] = OrderedDict()
+        self._announced: OrderedDict[PeerAddress, int] = OrderedDict()
         self._callbacks: list[Callable[[Snapshot], None]] = []
-        self._wanted = trio.Event()
-        self._wanted.set()
-        peers.handle(ConfigHave, self._on_have)
-        peers.handle(ConfigAsk, self._on_ask)
-        membership.on_change(self._note_versions)
+        self._fetch_wanted = trio.Event()
+        self._fetch_wanted.set()
+        peers.handle(ConfigAnnouncement, self._on_announcement)
+        peers.handle(ConfigRequest, self._on_request)
+        membership.on_change(self._check_versions)
 
     def current(self) -> Snapshot | None:
         """Return the newest configuration that this instance has."""
@@ -112,15 +112,15 @@
     async def run(self) -> None:
         """Fetch what others have, until cancelled."""
         while True:
-            await self._wanted.wait()
-            self._wanted = trio.Event()
+            await self._fetch_wanted.wait()
+            self._fetch_wanted = trio.Event()
             source = self._choose_source()
             if source is None:
                 continue
             if not await self._fetch(source):
-                self._told.pop(source, None)
+                self._announced.pop(source, None)
                 await trio.sleep(self._settings.retry_pause_s * self._random.uniform(0.5, 1.5))
-            self._wanted.set()
+            self._fetch_wanted.set()
 
     @property
     def _version(self) -> int:
@@ -131,9 +131,9 @@
             self._history.add(self._current, snapshot)
         self._current = snapshot
         log_event("config-received", version=snapshot.change.version)
-        self._tell()
+        self._announce()
 
-    def _tell(self) -> None:
+    def _announce(self) -> None:
         others = [
             member
             for member in self._membership.members()
@@ -142,18 +142,18 @@
             and member.address != self._peers.address.address
         ]
         for member in self._random.sample(others, min(self._settings.fanout, len(others))):
-            self._peers.send(member.peer_address, ConfigHave(self._version))
+            self._peers.send(member.peer_address, ConfigAnnouncement(self._version))
 
-    def _note_versions(self) -> None:
+    def _check_versions(self) -> None:
         if self._current is None or self._choose_source() is not None:
-            self._wanted.set()
+            self._fetch_wanted.set()
 
-    def _on_have(self, received: Received) -> None:
+    def _on_announcement(self, received: Received) -> None:
         if received.message.version > self._version:
-            self._told[received.sender] = received.message.version
-            if len(self._told) > MOST_TOLD_KEPT:
-                self._told.popitem(last=False)
-            self._wanted.set()
+            self._announced[received.sender] = received.message.version
+            if len(self._announced) > MAX_ANNOUNCEMENTS:
+                self._announced.popitem(last=False)
+            self._fetch_wanted.set()
 
     def _choose_source(self) -> PeerAddress | None:
         members = [
@@ -161,8 +161,10 @@
             for member in self._membership.members()
             if member.state != "dead" and member.address != self._peers.address.address
         ]
-        sources = [one.peer_address for one in members if one.config_version > self._version]
-        sources += [to for to, version in self._told.items() if version > self._version]
+        sources = [
+            member.peer_address for member in members if member.config_version > self._version
+        ]
+        sources += [to for to, version in self._announced.items() if version > self._version]
         if not sources and self._current is None:
             # Nobody enforces a version yet, but one may have got it just now.
             sources = [member.peer_address for member in members]
@@ -192,50 +194,56 @@
             BrokenDelta: What arrived does not lead to that version.
         """
         from_version = base.change.version if base is not None else 0
-        first = await self._ask(source, ConfigAsk(from_version, 0, 0))
-        if first is None or first.change is None or first.change.version <= self._version:
+        first_part = await self._request_part(source, ConfigRequest(from_version, 0, 0))
+        if (
+            first_part is None
+            or first_part.change is None
+            or first_part.change.version <= self._version
+        ):
             return None
-        data = [first.data]
-        for index in range(1, first.parts):
-            part = await self._ask(source, ConfigAsk(from_version, first.change.version, index))
-            if part is None or part.change != first.change:
+        data = [first_part.data]
+        for index in range(1, first_part.parts):
+            part = await self._request_part(
+                source, ConfigRequest(from_version, first_part.change.version, index)
+            )
+            if part is None or part.change != first_part.change:
                 return None
             data.append(part.data)
-        base = base if first.from_version else None
-        return apply_delta(base, b"".join(data), change=first.change, digest=first.digest)
+        base = base if first_part.from_version else None
+        return apply_delta(base, b"".join(data), change=first_part.change, digest=first_part.digest)
 
-    async def _ask(self, source: PeerAddress, question: ConfigAsk) -> ConfigPart | None:
+    async def _request_part(self, source: PeerAddress, request: ConfigRequest) -> ConfigPart | None:
         timeout_s = self._settings.reply_timeout_s
-        match await self._peers.request(source, question, timeout_s=timeout_s):
+        match await self._peers.request(source, request, timeout_s=timeout_s):
             case Ok(ConfigPart() as part):
                 return part
             case _:
                 return None
 
-    def _on_ask(self, received: Received) -> ConfigPart:
-        question: ConfigAsk = received.message
-        encoded = self._find_encoded(question)
-        if encoded is None or question.part >= encoded.parts:
-            return NOTHING
+    def _on_request(self, received: Received) -> ConfigPart:
+        request: ConfigRequest = received.message
+        encoded = self._find_encoded(request)
+        if encoded is None or request.part >= encoded.parts:
+            return NO_PART
         return ConfigPart(
             change=encoded.change,
             from_version=encoded.from_version,
             digest=encoded.digest,
             parts=encoded.parts,
-            data=encoded.part(question.part),
+            data=encoded.part(request.part),
         )
 
-    def _find_encoded(self, question: ConfigAsk) -> _Encoded | None:
+    def _find_encoded(self, request: ConfigRequest) -> _Encoded | None:
         current = self._current
-        if current is None or question.from_version >= current.change.version:
+        if current is None or request.from_version >= current.change.version:
             return None
         # Parts of a version that was replaced while it is being fetched are still given out.
-        key = (question.from_version, question.version or current.change.version)
+        key = (request.from_version, request.version or current.change.version)
         encoded = self._encoded.get(key)
         if encoded is None and key[1] == current.change.version:
-            encoded = self._encode(current, question.from_version)
+            encoded = self._encode(current, request.from_version)
             self._encoded[key] = encoded
-            while len(self._encoded) > MOST_ENCODED_KEPT:
+            while len(self._encoded) > MAX_ENCODED_DELTAS:
                 self._encoded.popitem(last=False)
         return encoded
 
--- a/src/wagtailpoint/membership/news.py
+++ b/src/wagtailpoint/membership/gossip.py
@@ -5,18 +5,18 @@
 
 import trio
 
-from wagtailpoint.membership.change import News, change_of, unpack_address
+from wagtailpoint.membership.change import News, extract_change, unpack_address
 from wagtailpoint.membership.messages import Gossip
 from wagtailpoint.membership.settings import MembershipSettings
 from wagtailpoint.membership.table import MemberTable
 from wagtailpoint.ports.peers import Peers, Received
 
-MOST_NEWS_PIGGYBACKED = 6
-MOST_NEWS_PUSHED = 60
+MAX_PIGGYBACKED_NEWS = 6
+MAX_PUSHED_NEWS = 60
 NO_NEWS = News((), ())
 
 
-class NewsTeller:
+class Gossiper:
     """Takes news in, tells it on, and wakes who waits for changes.
 
     Args:
@@ -50,9 +50,9 @@
     def apply(self, news: News) -> None:
         """Take in news."""
         if self._table.apply_news(news):
-            self.note_change()
+            self.notify_change()
 
-    def note_change(self) -> None:
+    def notify_change(self) -> None:
         """Tell on, and wake who waits, after the view was changed."""
         if self._table.has_news:
             self._arrived.set()
@@ -66,11 +66,11 @@
     def piggyback(self, to: str) -> News:
         """Return what goes along with a probe or its answer."""
         about = self._table.fact(to)
-        news = self._table.take_news(MOST_NEWS_PIGGYBACKED)
-        told = [change_of(self._table.own)]
+        news = self._table.collect_news(MAX_PIGGYBACKED_NEWS)
+        changes = [extract_change(self._table.own)]
         if about is not None and about.suspect:
-            told.append(change_of(about))
-        return news._replace(changes=(*told, *news.changes))
+            changes.append(extract_change(about))
+        return news._replace(changes=(*changes, *news.changes))
 
     async def run(self) -> None:
         """Tell news on until cancelled."""
@@ -78,12 +78,12 @@
             await self._arrived.wait()
             self._arrived = trio.Event()
             while self._table.has_news:
-                await self._wait_for_more()
+                await self._wait_to_batch()
                 await trio.sleep(self._settings.push_delay_s * self._random.uniform(0.8, 1.2))
                 if not self.push(self._settings.push_fanout):
                     break
 
-    async def _wait_for_more(self) -> None:
+    async def _wait_to_batch(self) -> None:
         self._urgent = trio.Event()
         if not self._table.has_urgent_news:
             with trio.move_on_after(self._settings.report_delay_s * self._random.uniform(0.8, 1.2)):
@@ -94,18 +94,18 @@
         others = self._table.reachable()
         chosen = self._random.sample(others, min(fanout, len(others)))
         for fact in chosen:
-            news = self._table.take_news(MOST_NEWS_PUSHED)
+            news = self._table.collect_news(MAX_PUSHED_NEWS)
             if news == NO_NEWS:
                 break
             self._peers.send(fact.peer_address, Gossip(news))
-            self._tell_suspects(news, but=fact.address)
+            self._notify_suspects(news, exclude=fact.address)
         return bool(chosen)
 
-    def _tell_suspects(self, news: News, *, but: str) -> None:
+    def _notify_suspects(self, news: News, *, exclude: str) -> None:
         """Tell suspects at once that they are, so that they refute it in time."""
         for change in news.changes:
             fact = self._table.fact(unpack_address(change.packed_address))
-            if change.suspect and fact is not None and fact.address != but:
+            if change.suspect and fact is not None and fact.address != exclude:
                 self._peers.send(fact.peer_address, Gossip(News((), (change,))))
 
     def _on_gossip(self, received: Received) -> None:
--- a/src/wagtailpoint/membership/member.py
+++ b/src/wagtailpoint/membership/member.py
@@ -47,12 +47,12 @@
     capacity: float = 1.0
 
     @property
-    def order(self) -> tuple[int, int, bool]:
+    def recency(self) -> tuple[int, int, bool]:
         """Of two facts on the same address, the greater is the newer one."""
         return (self.sequence, self.incarnation, self.suspect)
 
     @property
-    def is_possible(self) -> bool:
+    def is_valid(self) -> bool:
         """Whether its figures can be true; others would spoil every decision made by them."""
         return 0.0 <= self.load <= 1.0 and 0.0 < self.capacity <= MAX_CAPACITY
 
--- a/src/wagtailpoint/membership/messages.py
+++ b/src/wagtailpoint/membership/messages.py
@@ -27,7 +27,7 @@
     view_hash: int
 
 
-class PingFor(NamedTuple):
+class IndirectPing(NamedTuple):
     """Asks an instance to ping another one that the sender gets no answer from."""
 
     address: str
@@ -35,7 +35,7 @@
     incarnation: int
 
 
-class PingForResult(NamedTuple):
+class IndirectPingResult(NamedTuple):
     """Whether the other one answered."""
 
     answered: bool
@@ -75,8 +75,8 @@
 
 register_message("member-ping", Ping)
 register_message("member-ack", Ack)
-register_message("member-ping-for", PingFor)
-register_message("member-ping-for-result", PingForResult)
+register_message("member-ping-for", IndirectPing)
+register_message("member-ping-for-result", IndirectPingResult)
 register_message("member-gossip", Gossip)
 register_message("member-sync", SyncRequest)
 register_message("member-sync-reply", SyncReply)
--- a/src/wagtailpoint/membership/lost.py
+++ b/src/wagtailpoint/membership/reconnection.py
@@ -5,15 +5,15 @@
 
 import trio
 
-from wagtailpoint.membership.comparing import ViewComparer
 from wagtailpoint.membership.settings import MembershipSettings
 from wagtailpoint.membership.table import MemberTable
+from wagtailpoint.membership.view_sync import ViewSynchroniser
 from wagtailpoint.ports.peers import ANY_INCARNATION, PeerAddress
 
 JOIN_INTERVAL_S = 0.2
 
 
-class LostFinder:
+class Reconnector:
     """Asks, slowly and for as long as they are remembered, whether the dead live again.
 
     Args:
@@ -29,45 +29,45 @@
         self,
         *,
         table: MemberTable,
-        comparer: ViewComparer,
+        synchroniser: ViewSynchroniser,
         random: Random,
         seeds: Sequence[PeerAddress],
         hints: Callable[[], Sequence[PeerAddress]],
         settings: MembershipSettings,
     ) -> None:
         self._table = table
-        self._comparer = comparer
+        self._synchroniser = synchroniser
         self._random = random
         self._seeds = tuple(seeds)
         self._hints = hints
         self._settings = settings
-        self._order: list[PeerAddress] = []
+        self._queue: list[PeerAddress] = []
 
     async def run(self) -> None:
         """Ask one after the other until cancelled."""
         while True:
-            to = self._next_lost()
-            if to is not None and await self._comparer.sync(to):
+            peer = self._next_candidate()
+            if peer is not None and await self._synchroniser.sync(peer):
                 continue
             joined = bool(self._table.reachable())
             period_s = self._settings.retry_interval_s if joined else JOIN_INTERVAL_S
             await trio.sleep(period_s * self._random.uniform(0.8, 1.2))
 
-    def _next_lost(self) -> PeerAddress | None:
-        if not self._order:
-            self._order = self._lost()
-        return self._order.pop() if self._order else None
+    def _next_candidate(self) -> PeerAddress | None:
+        if not self._queue:
+            self._queue = self._find_candidates()
+        return self._queue.pop() if self._queue else None
 
-    def _lost(self) -> list[PeerAddress]:
+    def _find_candidates(self) -> list[PeerAddress]:
         known = {fact.address for fact in self._table.reachable()} | {self._table.own.address}
-        lost = {fact.address: fact.peer_address for fact in self._table.dead()}
-        for place in (*self._seeds, *self._hints()):
-            lost.setdefault(place.address, place)
-        order = [
+        candidates = {fact.address: fact.peer_address for fact in self._table.dead()}
+        for peer in (*self._seeds, *self._hints()):
+            candidates.setdefault(peer.address, peer)
+        queue = [
             # Whoever listens there now may be another process than the one that died.
-            place._replace(incarnation=ANY_INCARNATION)
-            for address, place in lost.items()
+            peer._replace(incarnation=ANY_INCARNATION)
+            for address, peer in candidates.items()
             if address not in known
         ]
-        self._random.shuffle(order)
-        return order
+        self._random.shuffle(queue)
+        return queue
--- a/src/wagtailpoint/membership/responsibility.py
+++ b/src/wagtailpoint/membership/responsibility.py
@@ -6,6 +6,6 @@
 
 def is_responsible(membership: Membership, task: str) -> bool:
     """Whether it is this instance: one, for all that see the same members live."""
-    live = [each.address for each in membership.members() if each.state == "live"]
+    live = [member.address for member in membership.members() if member.state == "live"]
     own = membership.own.address
-    return max(live, key=lambda each: rendezvous_score(task, each), default="") == own
+    return max(live, key=lambda member: rendezvous_score(task, member), default="") == own
--- a/src/wagtailpoint/membership/service.py
+++ b/src/wagtailpoint/membership/service.py
@@ -9,17 +9,17 @@
 
 import trio
 
-from wagtailpoint.membership.comparing import ViewComparer
-from wagtailpoint.membership.lost import LostFinder
+from wagtailpoint.membership.gossip import Gossiper
 from wagtailpoint.membership.member import Fact, Member, MemberState
-from wagtailpoint.membership.news import NewsTeller
 from wagtailpoint.membership.probing import Prober
+from wagtailpoint.membership.reconnection import Reconnector
 from wagtailpoint.membership.settings import MembershipSettings
 from wagtailpoint.membership.table import MemberTable
+from wagtailpoint.membership.view_sync import ViewSynchroniser
 from wagtailpoint.ports.clock import Clock
 from wagtailpoint.ports.peers import PeerAddress, Peers
 
-LEAST_LOAD_INTERVAL_S = 2.0
+MIN_LOAD_INTERVAL_S = 2.0
 LOAD_INTERVAL_PER_MEMBER_S = 0.2
 
 
@@ -49,7 +49,7 @@
     ) -> None:
         self._settings = settings or MembershipSettings()
         self._monotonic = clock.monotonic
-        self._load_told_at: float | None = None
+        self._load_published_at: float | None = None
         self._table = MemberTable(
             own=own,
             clock=clock,
@@ -57,27 +57,27 @@
             report_copies=self._settings.report_copies,
             urgent_load_step=self._settings.urgent_load_step,
         )
-        self._teller = NewsTeller(
+        self._gossiper = Gossiper(
             table=self._table, peers=peers, random=random, settings=self._settings
         )
-        self._comparer = ViewComparer(
+        self._synchroniser = ViewSynchroniser(
             table=self._table,
-            teller=self._teller,
+            gossiper=self._gossiper,
             peers=peers,
             random=random,
             settings=self._settings,
         )
         self._prober = Prober(
             table=self._table,
-            teller=self._teller,
-            comparer=self._comparer,
+            gossiper=self._gossiper,
+            synchroniser=self._synchroniser,
             peers=peers,
             random=random,
             settings=self._settings,
         )
-        self._finder = LostFinder(
+        self._reconnector = Reconnector(
             table=self._table,
-            comparer=self._comparer,
+            synchroniser=self._synchroniser,
             random=random,
             seeds=seeds,
             hints=hints,
@@ -110,11 +110,11 @@
 
     def on_change(self, callback: Callable[[], None]) -> None:
         """Call ``callback``, which must not block, after every change of ``members()``."""
-        self._teller.on_change(callback)
+        self._gossiper.on_change(callback)
 
     async def wait_changed(self) -> None:
         """Wait for the next change of ``members()``."""
-        await self._teller.wait_changed()
+        await self._gossiper.wait_changed()
 
     def publish(
         self,
@@ -135,12 +135,12 @@
             epoch=own.epoch if epoch is None else epoch,
             config_version=own.config_version if config_version is None else config_version,
         )
-        if load is not None and (changed != own or self._load_is_due(load)):
+        if load is not None and (changed != own or self._is_load_due(load)):
             changed = changed._replace(load=round(load, 2))
-            self._load_told_at = self._monotonic()
+            self._load_published_at = self._monotonic()
         if changed != own:
             self._table.publish(changed)
-            self._teller.note_change()
+            self._gossiper.notify_change()
 
     def leave(self) -> None:
         """Tell the others that this instance takes no more work; it goes on answering them."""
@@ -149,7 +149,7 @@
     def announce_exit(self) -> None:
         """Tell a few others at once that this process ends now, so that no suspicion is needed."""
         self.publish(state="dead")
-        self._teller.push(self._settings.push_fanout * 2)
+        self._gossiper.push(self._settings.push_fanout * 2)
 
     def watchers(self, failure_domain: str, count: int) -> tuple[Member, ...]:
         """Return who should hold the platform watch for a failure domain.
@@ -170,18 +170,16 @@
         """Run the tasks until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._prober.run)
-            nursery.start_soon(self._teller.run)
-            nursery.start_soon(self._comparer.run)
-            nursery.start_soon(self._finder.run)
+            nursery.start_soon(self._gossiper.run)
+            nursery.start_soon(self._synchroniser.run)
+            nursery.start_soon(self._reconnector.run)
 
-    def _load_is_due(self, load: float) -> bool:
+    def _is_load_due(self, load: float) -> bool:
         step = abs(load - self._table.own.load)
         if step < self._settings.load_step:
             return False
-        interval_s = max(
-            LEAST_LOAD_INTERVAL_S, LOAD_INTERVAL_PER_MEMBER_S * len(self._table.members)
-        )
+        interval_s = max(MIN_LOAD_INTERVAL_S, LOAD_INTERVAL_PER_MEMBER_S * len(self._table.members))
         if step >= self._settings.urgent_load_step:
             interval_s = self._settings.urgent_load_interval_s
-        last_s = self._load_told_at
-        return last_s is None or self._monotonic() - last_s >= interval_s
+        published_at_s = self._load_published_at
+        return published_at_s is None or self._monotonic() - published_at_s >= interval_s
--- a/src/wagtailpoint/membership/table.py
+++ b/src/wagtailpoint/membership/table.py
@@ -7,16 +7,16 @@
 from wagtailpoint.membership.change import (
     Change,
     News,
-    change_of,
-    changed_fact,
+    apply_change,
+    extract_change,
     unpack_address,
 )
 from wagtailpoint.membership.member import Fact, Member, make_member
 from wagtailpoint.observe.log import log_event
 from wagtailpoint.ports.clock import Clock
 
-BUCKETS = 32
-MOST_MEMBERS = 2000
+BUCKET_COUNT = 32
+MAX_MEMBERS = 2000
 
 
 class MemberTable:
@@ -51,12 +51,12 @@
         self._facts: dict[str, Fact] = {own.address: own}
         self._suspect_since: dict[str, float] = {}
         self._dead_since: dict[str, float] = {}
-        self._copies_left: dict[str, int] = {}
+        self._remaining_copies: dict[str, int] = {}
         self._urgent: set[str] = set()
         self._new_processes: set[str] = set()
-        self._buckets = [0] * BUCKETS
+        self._buckets = [0] * BUCKET_COUNT
         self._members: tuple[Member, ...] | None = None
-        self._toggle(own)
+        self._toggle_hash(own)
 
     @property
     def own(self) -> Fact:
@@ -79,7 +79,7 @@
     @property
     def has_news(self) -> bool:
         """Some facts have not been told on often enough."""
-        return bool(self._copies_left)
+        return bool(self._remaining_copies)
 
     @property
     def has_urgent_news(self) -> bool:
@@ -123,15 +123,15 @@
 
     def apply(self, fact: Fact) -> bool:
         """Take in a fact; True if it was news."""
-        if not fact.is_possible:
+        if not fact.is_valid:
             log_event("fact-impossible", level="WARNING", address=fact.address, fact=fact)
             return False
         known = self._facts.get(fact.address)
         if fact.address == self._own.address:
             return self._refute(fact)
-        if known is None and len(self._facts) >= MOST_MEMBERS:
+        if known is None and len(self._facts) >= MAX_MEMBERS:
             return False
-        if known is not None and fact.order <= known.order:
+        if known is not None and fact.recency <= known.recency:
             return False
         self._store(fact)
         return True
@@ -147,58 +147,64 @@
         if self._facts.get(fact.address) == fact and not fact.suspect:
             self._store(fact._replace(suspect=True))
 
-    def conclude_deaths(self, *, suspicion_s: float) -> list[Fact]:
+    def declare_deaths(self, *, suspicion_s: float) -> list[Fact]:
         """Take for dead whom has been suspected, without a word from it, for ``suspicion_s``."""
-        limit = self._monotonic() - suspicion_s
-        died = [
+        cutoff = self._monotonic() - suspicion_s
+        newly_dead = [
             self._facts[address]
             for address, since in self._suspect_since.items()
-            if since <= limit and not self.is_dead(address)
+            if since <= cutoff and not self.is_dead(address)
         ]
-        for fact in died:
-            self._toggle(fact)
+        for fact in newly_dead:
+            self._toggle_hash(fact)
             self._dead_since[fact.address] = self._monotonic()
             self._members = None
-        return died
+        return newly_dead
 
-    def forget(self, *, dead_s: float) -> None:
+    def expire_dead(self, *, retention_s: float) -> None:
         """Drop members that have been dead for ``dead_s``."""
-        limit = self._monotonic() - dead_s
+        cutoff = self._monotonic() - retention_s
         for address, since in list(self._dead_since.items()):
-            if since <= limit:
+            if since <= cutoff:
                 self._remove(address)
 
-    def take_news(self, most: int) -> News:
+    def collect_news(self, max_count: int) -> News:
         """Return what was told on least, counting it as told."""
-        addresses = sorted(self._copies_left, key=lambda address: -self._copies_left[address])
+        addresses = sorted(
+            self._remaining_copies, key=lambda address: -self._remaining_copies[address]
+        )
         facts: list[Fact] = []
         changes: list[Change] = []
-        for address in addresses[:most]:
+        for address in addresses[:max_count]:
             if address in self._new_processes:
                 facts.append(self._facts[address])
             else:
-                changes.append(change_of(self._facts[address]))
+                changes.append(extract_change(self._facts[address]))
             self._count_copy(address)
         return News(tuple(facts), tuple(changes))
 
-    def in_buckets_unlike(self, buckets: Iterable[int]) -> list[Fact]:
+    def facts_in_differing_buckets(self, buckets: Iterable[int]) -> list[Fact]:
         """Return the facts in all buckets whose hash differs, the dead as suspects among them."""
-        unlike = {
+        differing = {
             index
             for index, (own, other) in enumerate(zip(self._buckets, buckets, strict=False))
             if own != other
         }
-        return [fact for address, fact in self._facts.items() if _bucket_of(address) in unlike]
+        return [
+            fact for address, fact in self._facts.items() if _bucket_index(address) in differing
+        ]
 
     def _refute(self, fact: Fact) -> bool:
         # Somebody doubts that this instance lives, or remembers the process that had this address
         # before. Only a higher sequence ends that; otherwise this instance would be dead to all.
-        another = fact.incarnation != self._own.incarnation
-        if fact.order <= self._own.order and not (another and fact.sequence >= self._own.sequence):
+        is_other_process = fact.incarnation != self._own.incarnation
+        if fact.recency <= self._own.recency and not (
+            is_other_process and fact.sequence >= self._own.sequence
+        ):
             return False
         self._own = self._own._replace(sequence=fact.sequence)
         self.publish(self._own)
-        if another:
+        if is_other_process:
             self._new_processes.add(self._own.address)
         return True
 
@@ -207,20 +213,20 @@
             known = self._facts.get(unpack_address(change.packed_address))
         except ValueError:
             return False
-        fact = changed_fact(known, change) if known is not None else None
+        fact = apply_change(known, change) if known is not None else None
         return fact is not None and self.apply(fact)
 
     def _count_copy(self, address: str) -> None:
-        self._copies_left[address] -= 1
-        if self._copies_left[address] <= 0:
-            del self._copies_left[address]
+        self._remaining_copies[address] -= 1
+        if self._remaining_copies[address] <= 0:
+            del self._remaining_copies[address]
             self._urgent.discard(address)
             self._new_processes.discard(address)
 
     def _store(self, fact: Fact) -> None:
         known = self._facts.get(fact.address)
         if known is not None and not self.is_dead(fact.address):
-            self._toggle(known)
+            self._toggle_hash(known)
         if known is None or known.incarnation != fact.incarnation:
             self._new_processes.add(fact.address)
         self._facts[fact.address] = fact
@@ -232,12 +238,12 @@
         if fact.state == "dead":
             self._dead_since[fact.address] = self._monotonic()
         else:
-            self._toggle(fact)
+            self._toggle_hash(fact)
         if known is None or self._is_urgent(fact, known):
             self._urgent.add(fact.address)
         # A leave that is still being told must not be told more rarely for a load after it.
-        left = self._copies_left.get(fact.address, 0)
-        self._copies_left[fact.address] = max(left, self._copies_of(fact, known))
+        remaining_copies = self._remaining_copies.get(fact.address, 0)
+        self._remaining_copies[fact.address] = max(remaining_copies, self._max_copies(fact, known))
         self._members = None
 
     def _is_urgent(self, fact: Fact, known: Fact) -> bool:
@@ -245,26 +251,26 @@
             return True
         return known != fact._replace(sequence=known.sequence, epoch=known.epoch, load=known.load)
 
-    def _copies_of(self, fact: Fact, known: Fact | None) -> int:
-        same = known is not None and (known.incarnation, known.state, known.suspect) == (
+    def _max_copies(self, fact: Fact, known: Fact | None) -> int:
+        is_same_state = known is not None and (known.incarnation, known.state, known.suspect) == (
             fact.incarnation,
             fact.state,
             fact.suspect,
         )
-        return self._report_copies if same else self._gossip_copies
+        return self._report_copies if is_same_state else self._gossip_copies
 
     def _remove(self, address: str) -> None:
         del self._facts[address]
         self._dead_since.pop(address, None)
         self._suspect_since.pop(address, None)
-        self._copies_left.pop(address, None)
+        self._remaining_copies.pop(address, None)
         self._urgent.discard(address)
         self._new_processes.discard(address)
         self._members = None
 
-    def _toggle(self, fact: Fact) -> None:
-        self._buckets[_bucket_of(fact.address)] ^= fact.hash
+    def _toggle_hash(self, fact: Fact) -> None:
+        self._buckets[_bucket_index(fact.address)] ^= fact.hash
 
 
-def _bucket_of(address: str) -> int:
-    return crc32(address.encode()) % BUCKETS
+def _bucket_index(address: str) -> int:
+    return crc32(address.encode()) % BUCKET_COUNT
--- a/tests/common/member_group.py
+++ b/tests/common/member_group.py
@@ -153,13 +153,15 @@
 
 
 def run_group(
-    story: Callable[[MemberGroup], Awaitable[None]], *, settings: MembershipSettings | None = None
+    scenario: Callable[[MemberGroup], Awaitable[None]],
+    *,
+    settings: MembershipSettings | None = None,
 ) -> None:
     """Run a test on a group of instances, on a clock that jumps over every wait."""
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
-            await story(MemberGroup(nursery=nursery, settings=settings))
+            await scenario(MemberGroup(nursery=nursery, settings=settings))
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=MockClock(autojump_threshold=0))
--- a/tests/cover/test_config_spread.py
+++ b/tests/cover/test_config_spread.py
@@ -86,7 +86,7 @@
         )
 
     def test_change_reaches_all_from_one(self) -> None:
-        async def story(group: MemberGroup) -> None:
+        async def scenario(group: MemberGroup) -> None:
             await group.start_all(9)
             for version in (1, 2):
                 snapshot = make_snapshot(version, a=version, b="same")
@@ -94,10 +94,10 @@
                 self.assertLess(await self.until_all_have(group, version), 2)
                 self.assert_all_have(group, snapshot)
 
-        run_group(story)
+        run_group(scenario)
 
     def test_large_configuration_arrives_in_parts(self) -> None:
-        async def story(group: MemberGroup) -> None:
+        async def scenario(group: MemberGroup) -> None:
             await group.start_all(3)
             large = make_snapshot(1, a=Random(5).randbytes(config_spread.PART_BYTES).hex(), b=1)
             group.instances["127.0.0.1"].offer(large)
@@ -107,7 +107,7 @@
             self.assertGreater(counts.sent["config-part"].messages, 1)
             self.assertNotIn("too-large", counts.dropped)
 
-        run_group(story)
+        run_group(scenario)
 
     def test_older_version_is_never_taken(self) -> None:
         """A workspace that was locked is open again for a while.
@@ -116,7 +116,7 @@
         offers it after the newer one. Cause: counting versions by arrival.
         """
 
-        async def story(group: MemberGroup) -> None:
+        async def scenario(group: MemberGroup) -> None:
             await group.start_all(3)
             newer = make_snapshot(7, a=7)
             group.instances["127.0.0.1"].offer(newer)
@@ -125,7 +125,7 @@
             await trio.sleep(10)
             self.assert_all_have(group, newer)
 
-        run_group(story)
+        run_group(scenario)
 
     def test_starting_instance_gets_everything_from_peers(self) -> None:
         """A replacement cannot serve while the platform is out.
@@ -134,7 +134,7 @@
         have nobody else to get the configuration from.
         """
 
-        async def story(group: MemberGroup) -> None:
+        async def scenario(group: MemberGroup) -> None:
             await group.start_all(9)
             newest = make_snapshot(3, a=3)
             group.instances["127.0.0.1"].offer(newest)
@@ -145,7 +145,7 @@
             self.assertLess(await self.until_all_have(group, 3), 3)
             self.assert_all_have(group, newest)
 
-        run_group(story)
+        run_group(scenario)
 
     def test_starting_instance_gets_what_nobody_enforces_yet(self) -> None:
         """A replacement waits for good while all others have a configuration.
@@ -154,14 +154,14 @@
         they told each other. Cause: asking only whom is known to enforce a version.
         """
 
-        async def story(group: MemberGroup) -> None:
+        async def scenario(group: MemberGroup) -> None:
             await group.start_all(3)
             for instance in group.instances.values():
                 instance.spread.offer(make_snapshot(1, a=1))
             late = group.start("127.0.0.4")
             await group.wait_until(lambda: late.versions == [1])
 
-        run_group(story)
+        run_group(scenario)
 
     def test_region_behind_a_cut_catches_up_when_it_heals(self) -> None:
         """A region enforces an old configuration for long after a cut.
@@ -170,12 +170,12 @@
         deltas; the cut heals. Cause: nobody tells of a version twice.
         """
 
-        async def story(group: MemberGroup) -> None:
+        async def scenario(group: MemberGroup) -> None:
             await group.start_all(9)
             group.instances["127.0.0.1"].offer(make_snapshot(1, a=1, gone="x"))
             await self.until_all_have(group, 1)
-            islands = ["127.0.0.7", "127.0.0.8", "127.0.0.9"]
-            group.network.cut_apart(islands, set(group.instances) - set(islands))
+            isolated = ["127.0.0.7", "127.0.0.8", "127.0.0.9"]
+            group.network.cut_apart(isolated, set(group.instances) - set(isolated))
             for version in range(2, 32):
                 newest = make_snapshot(version, a=version)
                 group.instances["127.0.0.1"].offer(newest)
@@ -184,8 +184,8 @@
             self.assertLess(await self.until_all_have(group, 31), 20)
             self.assert_all_have(group, newest)
 
-        with patch.object(config_delta, "MOST_DELTAS_KEPT", 8):
-            run_group(story)
+        with patch.object(config_delta, "MAX_HISTORY_STEPS", 8):
+            run_group(scenario)
 
     def test_source_that_freezes_in_the_middle(self) -> None:
         """An instance waits for good for the rest of a configuration.
@@ -194,7 +194,7 @@
         one source.
         """
 
-        async def story(group: MemberGroup) -> None:
+        async def scenario(group: MemberGroup) -> None:
             await group.start_all(3)
             snapshot = make_snapshot(1, a="x")
             group.instances["127.0.0.1"].offer(snapshot)
@@ -202,4 +202,4 @@
             group.instances["127.0.0.2"].offer(snapshot)
             await group.wait_until(lambda: group.instances["127.0.0.3"].versions == [1])
 
-        run_group(story)
+        run_group(scenario)
--- a/tests/cover/test_member_table.py
+++ b/tests/cover/test_member_table.py
@@ -23,7 +23,7 @@
 
     def count_copies(self) -> int:
         copies = 0
-        while self.table.take_news(10) != News((), ()):
+        while self.table.collect_news(10) != News((), ()):
             copies += 1
         return copies
 
@@ -48,7 +48,7 @@
         table.apply(OTHER)
         self.assertTrue(table.has_urgent_news)
         while table.has_news:
-            table.take_news(10)
+            table.collect_news(10)
         table.apply(OTHER._replace(sequence=2, epoch=2, load=0.5))
         self.assertEqual((table.has_news, table.has_urgent_news), (True, False))
         table.apply(OTHER._replace(sequence=3, epoch=2, load=0.5, config_version=4))
@@ -61,10 +61,10 @@
         """
         table = MemberTable(own=OWN, clock=FakeClock(), gossip_copies=1, urgent_load_step=0.25)
         table.apply(OTHER)
-        table.take_news(10)
+        table.collect_news(10)
         table.apply(OTHER._replace(sequence=2, load=0.2))
         self.assertFalse(table.has_urgent_news)
-        table.take_news(10)
+        table.collect_news(10)
         table.apply(OTHER._replace(sequence=3, load=0.5))
         self.assertTrue(table.has_urgent_news)
 
--- a/tests/cover/test_membership.py
+++ b/tests/cover/test_membership.py
@@ -12,13 +12,13 @@
 
 class OrdinaryMembershipTest(unittest.TestCase):
     def test_starting_instances_find_each_other_from_the_seeds(self) -> None:
-        async def story(group: MemberGroup) -> None:
+        async def scenario(group: MemberGroup) -> None:
             await group.start_all(9)
 
-        run_group(story)
+        run_group(scenario)
 
     def test_own_facts_reach_all(self) -> None:
-        async def story(group: MemberGroup) -> None:
+        async def scenario(group: MemberGroup) -> None:
             await group.start_all(9)
             group.instances[VICTIM].membership.publish(config_version=7, epoch=3)
 
@@ -30,18 +30,18 @@
 
             self.assertLess(await group.wait_until(known), 2)
 
-        run_group(story)
+        run_group(scenario)
 
     def test_leaving_reaches_all(self) -> None:
-        async def story(group: MemberGroup) -> None:
+        async def scenario(group: MemberGroup) -> None:
             await group.start_all(9)
             group.instances[VICTIM].membership.leave()
             self.assertLess(await group.wait_until(lambda: group.all_see(VICTIM, "leaving")), 2)
 
-        run_group(story)
+        run_group(scenario)
 
     def test_small_changes_of_load_are_not_told_on(self) -> None:
-        async def story(group: MemberGroup) -> None:
+        async def scenario(group: MemberGroup) -> None:
             await group.start_all(3)
             membership = group.instances["127.0.0.2"].membership
             membership.publish(load=0.5)
@@ -53,10 +53,10 @@
             membership.publish(load=0.9)
             self.assertEqual(membership.own.load, 0.9)
 
-        run_group(story)
+        run_group(scenario)
 
     def test_load_that_jumps_is_told_at_once_but_not_all_the_time(self) -> None:
-        async def story(group: MemberGroup) -> None:
+        async def scenario(group: MemberGroup) -> None:
             await group.start_all(3)
             membership = group.instances["127.0.0.2"].membership
             membership.publish(load=0.1)
@@ -66,10 +66,10 @@
             membership.publish(load=0.1)
             self.assertEqual(membership.own.load, 0.6)
 
-        run_group(story, settings=MembershipSettings(urgent_load_step=0.25))
+        run_group(scenario, settings=MembershipSettings(urgent_load_step=0.25))
 
     def test_all_name_the_same_watchers(self) -> None:
-        async def story(group: MemberGroup) -> None:
+        async def scenario(group: MemberGroup) -> None:
             await group.start_all(9)
             named = {
                 tuple(member.address for member in i.membership.watchers("kolkata-a", 2))
@@ -77,10 +77,10 @@
             }
             self.assertEqual(named, {("127.0.0.1", "127.0.0.2")})
 
-        run_group(story)
+        run_group(scenario)
 
     def test_changes_wake_who_waits_for_them(self) -> None:
-        async def story(group: MemberGroup) -> None:
+        async def scenario(group: MemberGroup) -> None:
             await group.start_all(3)
             calls: list[int] = []
             membership = group.instances["127.0.0.1"].membership
@@ -90,7 +90,7 @@
                 await membership.wait_changed()
             self.assertEqual(calls, [1])
 
-        run_group(story)
+        run_group(scenario)
 
 
 class FailingMembershipTest(unittest.TestCase):
@@ -101,21 +101,21 @@
         without probes nobody would notice.
         """
 
-        async def story(group: MemberGroup) -> None:
+        async def scenario(group: MemberGroup) -> None:
             await group.start_all(9)
             group.instances.pop(VICTIM).kill()
             await group.wait_until(lambda: group.all_see(VICTIM, "dead"))
 
-        run_group(story)
+        run_group(scenario)
 
     def test_farewell_needs_no_suspicion(self) -> None:
-        async def story(group: MemberGroup) -> None:
+        async def scenario(group: MemberGroup) -> None:
             await group.start_all(9)
             group.instances[VICTIM].membership.announce_exit()
             group.instances.pop(VICTIM).kill()
             self.assertLess(await group.wait_until(lambda: group.all_see(VICTIM, "dead")), 2)
 
-        run_group(story)
+        run_group(scenario)
 
     def test_frozen_instance_comes_back_by_itself(self) -> None:
         """An instance that was paused is taken for dead for good, or takes all others for dead.
@@ -125,14 +125,14 @@
         does.
         """
 
-        async def story(group: MemberGroup) -> None:
+        async def scenario(group: MemberGroup) -> None:
             await group.start_all(9)
             group.network.freeze(VICTIM)
             await group.wait_until(lambda: group.all_see(VICTIM, "dead"))
             group.network.thaw(VICTIM)
             await group.wait_until(lambda: group.all_see_all("live"))
 
-        run_group(story)
+        run_group(scenario)
 
     def test_half_cut_does_not_kill(self) -> None:
         """A working instance drops out of lookups because one link of many is cut.
@@ -141,7 +141,7 @@
         only goes straight takes the state of one link for the state of an instance.
         """
 
-        async def story(group: MemberGroup) -> None:
+        async def scenario(group: MemberGroup) -> None:
             await group.start_all(9)
             group.network.cut(["127.0.0.1"], [VICTIM])
             for _ in range(300):
@@ -150,7 +150,7 @@
                 self.assertFalse(any(member.suspect for view in views for member in view))
                 self.assertTrue(group.all_see_all("live"))
 
-        run_group(story)
+        run_group(scenario)
 
     def test_restart_replaces_the_former_process_at_once(self) -> None:
         """A replacement at the same address is taken for the process that died before it.
@@ -160,7 +160,7 @@
         predecessor's, which the others still remember.
         """
 
-        async def story(group: MemberGroup) -> None:
+        async def scenario(group: MemberGroup) -> None:
             await group.start_all(9)
             former = group.instances[VICTIM]
             for _ in range(3):
@@ -181,7 +181,7 @@
 
             self.assertLess(await group.wait_until(replaced), 5)
 
-        run_group(story)
+        run_group(scenario)
 
     def test_late_message_does_not_bring_the_dead_back(self) -> None:
         """An instance that left long ago comes back into lookups.
@@ -191,7 +191,7 @@
         its sequence.
         """
 
-        async def story(group: MemberGroup) -> None:
+        async def scenario(group: MemberGroup) -> None:
             await group.start_all(9)
             group.network.freeze("127.0.0.9")
             group.instances[VICTIM].membership.publish(epoch=9)
@@ -205,7 +205,7 @@
                 self.assertEqual(states[VICTIM], "leaving")
             await group.wait_until(lambda: group.all_see(VICTIM, "leaving"))
 
-        run_group(story)
+        run_group(scenario)
 
     def test_region_cut_and_heal(self) -> None:
         """After a cut of an hour a region stays lost, or its healing drops everyone for a moment.
@@ -215,16 +215,16 @@
         holds that the other is dead, which must not be told on as if it were true of all.
         """
 
-        async def story(group: MemberGroup) -> None:
+        async def scenario(group: MemberGroup) -> None:
             await group.start_all(9)
-            islands = ["127.0.0.7", "127.0.0.8", "127.0.0.9"]
-            mainland = [address for address in group.instances if address not in islands]
-            group.network.cut_apart(islands, mainland)
+            isolated = ["127.0.0.7", "127.0.0.8", "127.0.0.9"]
+            remaining = [address for address in group.instances if address not in isolated]
+            group.network.cut_apart(isolated, remaining)
             await group.wait_until(
                 lambda: all(
-                    group.instances[one].states()[other] == "dead"
-                    for one in mainland
-                    for other in islands
+                    group.instances[observer].states()[observed] == "dead"
+                    for observer in remaining
+                    for observed in isolated
                 )
             )
             await trio.sleep(900)
@@ -232,10 +232,10 @@
 
             def own_side_lives() -> bool:
                 return all(
-                    group.instances[one].states()[other] == "live"
-                    for side in (mainland, islands)
-                    for one in side
-                    for other in side
+                    group.instances[observer].states()[observed] == "live"
+                    for side in (remaining, isolated)
+                    for observer in side
+                    for observed in side
                 )
 
             with trio.fail_after(30):
@@ -243,4 +243,4 @@
                     self.assertTrue(own_side_lives())
                     await trio.sleep(0.05)
 
-        run_group(story)
+        run_group(scenario)
--- a/tests/integration/test_membership_processes.py
+++ b/tests/integration/test_membership_processes.py
@@ -15,7 +15,7 @@
         self.group.until_all_live()
 
     def all_have_version(self, version: int) -> None:
-        self.group.until(lambda now: all(one["version"] == version for one in now.values()))
+        self.group.until(lambda now: all(report["version"] == version for report in now.values()))
 
     def test_killed_process_is_replaced_at_its_address(self) -> None:
         """A replacement cannot serve, or is taken for the process that died.
@@ -29,10 +29,12 @@
         victim = self.group.addresses[-1]
         former = self.group.reports()[victim]["incarnations"][victim]
         self.group.kill(victim)
-        self.group.until(lambda now: all(one["states"][victim] == "dead" for one in now.values()))
+        self.group.until(
+            lambda now: all(report["states"][victim] == "dead" for report in now.values())
+        )
         self.group.start(COUNT)
         reports = self.group.until_all_live()
-        seen = {one["incarnations"][victim] for one in reports.values()}
+        seen = {report["incarnations"][victim] for report in reports.values()}
         self.assertEqual(len(seen), 1)
         self.assertNotIn(former, seen)
         self.all_have_version(5)
@@ -47,7 +49,7 @@
         self.group.freeze(victim)
 
         def dead_to_all(now: Reports) -> bool:
-            return all(one["states"][victim] == "dead" for one in now.values())
+            return all(report["states"][victim] == "dead" for report in now.values())
 
         self.group.until(dead_to_all, but=victim)
         self.group.command(self.group.addresses[0], "offer 7")
