--- a/src/wagtailpoint/membership/__init__.py
+++ b/src/wagtailpoint/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Who is there: instances find each other, notice deaths, and tell on a few facts of each."""
+"""Cluster membership: discovery of instances, failure detection, and gossip of their state."""
 
 from wagtailpoint.membership.config_spread import ConfigSpread, ConfigSpreadSettings
 from wagtailpoint.membership.member import Member, MemberState
--- a/src/wagtailpoint/membership/change.py
+++ b/src/wagtailpoint/membership/change.py
@@ -1,4 +1,7 @@
-"""News on a member without what never changes while its process lives: a quarter of the bytes."""
+"""Compact updates on a member: a fact without the fields that are fixed while its process lives.
+
+A change takes about a quarter of the bytes of a whole fact.
+"""
 
 from functools import lru_cache
 from ipaddress import ip_address
@@ -11,18 +14,18 @@
 
 
 class Change(NamedTuple):
-    """The changeable part of a fact.
+    """The variable fields of a fact.
 
     Attributes:
-        packed_address: The address in binary.
-        tag: The lowest bits of the incarnation; who knows another one under this address ignores
-            the change, and compares views instead.
+        packed_address: The member's IP address in binary.
+        tag: The lowest 16 bits of the incarnation. A receiver that knows another incarnation at
+            this address ignores the change; synchronising the views delivers the whole fact.
         sequence: As in the fact.
         epoch: As in the fact.
-        state: The index of the state.
+        state: The index of the state in the definition of ``MemberState``.
         suspect: As in the fact.
         config_version: As in the fact.
-        load_percent: The load in hundredths.
+        load_percent: The load in percent.
     """
 
     packed_address: bytes
@@ -36,7 +39,7 @@
 
 
 class News(NamedTuple):
-    """What is told on in one message: whole facts on new processes, else only changes."""
+    """The updates in one message: whole facts on new processes, changes of known ones."""
 
     facts: tuple[Fact, ...]
     changes: tuple[Change, ...]
@@ -44,22 +47,22 @@
 
 @lru_cache(maxsize=4096)
 def pack_address(address: str) -> bytes:
-    """Return an address in binary."""
+    """Return an IP address in binary."""
     return ip_address(address).packed
 
 
 @lru_cache(maxsize=4096)
 def unpack_address(packed: bytes) -> str:
-    """Return an address as text.
+    """Return a packed IP address as text.
 
     Raises:
-        ValueError: It is no IP number.
+        ValueError: ``packed`` does not have the length of an IP address.
     """
     return str(ip_address(packed))
 
 
 def extract_change(fact: Fact) -> Change:
-    """Return the changeable part of a fact."""
+    """Return the variable fields of a fact."""
     return Change(
         packed_address=pack_address(fact.address),
         tag=fact.incarnation & _TAG_MASK,
@@ -73,7 +76,7 @@
 
 
 def apply_change(known: Fact, change: Change) -> Fact | None:
-    """Return the fact that a change makes of the known one; None if it is about another process."""
+    """Return a fact with a change applied; None if the change concerns another process."""
     if change.tag != known.incarnation & _TAG_MASK or not 0 <= change.state < len(_STATES):
         return None
     return known._replace(
--- a/src/wagtailpoint/membership/config_delta.py
+++ b/src/wagtailpoint/membership/config_delta.py
@@ -1,4 +1,4 @@
-"""What changed between two versions of the configuration, as bytes for one or several messages."""
+"""Encoded differences between two versions of the configuration."""
 
 import hashlib
 import zlib
@@ -15,15 +15,15 @@
 
 
 class BrokenDelta(Exception):
-    """A delta that does not lead to the configuration that it promises."""
+    """A delta that cannot be read, or whose result does not have the expected digest."""
 
 
 class Delta(NamedTuple):
-    """What to do to an older version.
+    """The operations that turn an older version into a newer one.
 
     Attributes:
-        puts: The values of the objects that are new or changed, by ``kind/name``.
-        deletes: The objects that are gone.
+        puts: The values of new and changed objects by ``kind/name``.
+        deletes: The ``kind/name`` of objects that the newer version does not have.
     """
 
     puts: Mapping[str, Any]
@@ -44,20 +44,20 @@
 
 
 def add_content_hashes(snapshot: Snapshot) -> Snapshot:
-    """Fill in the hashes of objects that a snapshot came without."""
+    """Return a snapshot with the missing hashes of its objects filled in."""
     known = snapshot.content_hashes
     hashes = {key: known.get(key) or hash_of(value) for key, value in snapshot.objects.items()}
     return snapshot._replace(content_hashes=hashes)
 
 
 def compute_digest(hashes: Mapping[str, str]) -> bytes:
-    """Return a digest of a whole configuration."""
+    """Return the digest of a whole configuration, given the hash of each object."""
     lines = "\n".join(f"{key} {hashes[key]}" for key in sorted(hashes))
     return hashlib.sha256(lines.encode()).digest()
 
 
 def encode_delta(snapshot: Snapshot, changed: frozenset[str]) -> bytes:
-    """Encode what has to be done to the objects ``changed``."""
+    """Encode the operations that bring the objects ``changed`` to their state in a snapshot."""
     puts = {key: snapshot.objects[key] for key in changed if key in snapshot.objects}
     deletes = tuple(sorted(changed - snapshot.objects.keys()))
     return zlib.compress(msgspec.json.encode(Delta(puts, deletes)), level=1)
@@ -66,17 +66,17 @@
 def apply_delta(
     base: Snapshot | None, data: bytes, *, change: ChangeInfo, digest: bytes
 ) -> Snapshot:
-    """Return the newer configuration.
+    """Return the newer configuration that a delta makes of ``base``.
 
     Raises:
-        BrokenDelta: The result is not the configuration with this digest. A part was lost or
-            crossed, or the sender's idea of the base is wrong.
+        BrokenDelta: The data cannot be read, or the result does not have ``digest``: a part was
+            lost or mixed up, or the sender made the delta for another base.
     """
     unpacker = zlib.decompressobj()
     try:
         delta = _decoder.decode(unpacker.decompress(data, MAX_DELTA_BYTES))
     except (zlib.error, msgspec.MsgspecError) as error:
-        raise BrokenDelta(f"given {len(data)} bytes that cannot be read: {error}") from error
+        raise BrokenDelta(f"cannot decode delta of {len(data)} bytes: {error}") from error
     objects = dict(base.objects) if base is not None else {}
     hashes = dict(base.content_hashes) if base is not None else {}
     for key in delta.deletes:
@@ -86,26 +86,28 @@
         objects[key] = pack(msgspec.json.decode(raw))
         hashes[key] = hash_of(objects[key])
     if compute_digest(hashes) != digest:
-        raise BrokenDelta(f"version {change.version} is not whole after its delta was applied")
+        raise BrokenDelta(
+            f"configuration version {change.version} has a wrong digest after applying its delta"
+        )
     return Snapshot(change=change, objects=objects, content_hashes=hashes)
 
 
 class DeltaHistory:
-    """Which objects changed in the last versions that this instance went through."""
+    """The objects that changed at each of the last version changes of this instance."""
 
     def __init__(self) -> None:
         self._steps: list[_Step] = []
 
     def add(self, older: Snapshot, newer: Snapshot) -> None:
-        """Remember a step from one version to a newer one."""
+        """Record a change from one version to a newer one."""
         changed = changed_keys(older.content_hashes, newer.content_hashes)
         self._steps.append(_Step(older.change.version, changed))
         del self._steps[:-MAX_HISTORY_STEPS]
 
     def changed_since(self, version: int) -> frozenset[str] | None:
-        """Return what changed since a version, perhaps more; None if that is not known."""
+        """Return at least the objects that changed since a version; None if it is too old."""
         if not self._steps or version < self._steps[0].from_version:
             return None
-        # The last step that began at or before the version covers all that came after it.
+        # The last step that begins at or before the version and all later ones cover its changes.
         first = max(i for i, step in enumerate(self._steps) if step.from_version <= version)
         return frozenset().union(*(step.changed for step in self._steps[first:]))
--- a/src/wagtailpoint/membership/config_messages.py
+++ b/src/wagtailpoint/membership/config_messages.py
@@ -1,4 +1,4 @@
-"""The messages by which the configuration goes from instance to instance."""
+"""The messages that distribute the configuration between instances."""
 
 from typing import NamedTuple
 
@@ -7,18 +7,18 @@
 
 
 class ConfigAnnouncement(NamedTuple):
-    """Tells that the sender has a version."""
+    """Announces the configuration version that the sender has."""
 
     version: int
 
 
 class ConfigRequest(NamedTuple):
-    """Asks for one part of what leads from one version to a newer one.
+    """Requests one part of the delta from one version to a newer one.
 
     Attributes:
-        from_version: What the sender has; 0 if nothing, or to get everything.
-        version: What it wants; 0 for the newest.
-        part: Which part; the first is 0.
+        from_version: The version that the sender has; 0 if none, or to get the whole configuration.
+        version: The requested version; 0 for the newest.
+        part: The index of the requested part, from 0.
     """
 
     from_version: int
@@ -27,15 +27,16 @@
 
 
 class ConfigPart(NamedTuple):
-    """One part of what leads from one version to a newer one.
+    """One part of the delta from one version to a newer one.
 
     Attributes:
-        change: The newer version; None if the sender does not have it, or nothing newer.
-        from_version: What the parts have to be applied to; 0 if to nothing, as when the version
-            asked from is too old for its changes to be known.
-        digest: Of the whole newer configuration.
-        parts: How many parts there are.
-        data: This part.
+        change: Describes the newer version; None if the sender does not have the requested
+            version, or nothing newer.
+        from_version: The version to which the delta applies; 0 if it is the whole configuration,
+            as when the requester's version is too old for its changes to be known.
+        digest: The digest of the whole newer configuration.
+        parts: The number of parts of the delta.
+        data: The bytes of this part.
     """
 
     change: ChangeInfo | None
--- a/src/wagtailpoint/membership/config_spread.py
+++ b/src/wagtailpoint/membership/config_spread.py
@@ -1,8 +1,9 @@
-"""The configuration goes from instance to instance, so that few of them need to ask the platform.
+"""Distribution of the configuration between instances, so that few need to read the platform.
 
-Whoever gets a newer version tells a few others, which fetch what they lack and tell on. Who is not
-told learns of it from the versions that the membership spreads. A starting instance gets all of it
-from any other one, also while the platform is out.
+An instance that gets a newer version announces it to a few others, which fetch the difference and
+announce it in turn. An instance that no announcement reaches learns of the version from the
+membership gossip. A starting instance gets the whole configuration from any other instance, also
+while the platform is unavailable.
 """
 
 from collections import OrderedDict
@@ -34,12 +35,12 @@
 
 
 class ConfigSpreadSettings(NamedTuple):
-    """The times and numbers of spreading the configuration.
+    """Settings of the distribution of the configuration.
 
     Attributes:
-        fanout: How many others are told at once.
-        reply_timeout_s: For one part.
-        retry_pause_s: After a fetch that failed, and between two questions while there is none.
+        fanout: The number of instances to which a new version is announced.
+        reply_timeout_s: The time-out of a request for one part, in seconds.
+        retry_pause_s: The mean delay after a fetch that failed or found nothing newer, in seconds.
     """
 
     fanout: int = 3
@@ -62,13 +63,13 @@
 
 
 class ConfigSpread:
-    """Moves the configuration between instances; never back to an older version.
+    """Exchanges configuration versions with peers; never returns to an older version.
 
     Args:
-        peers: The links to the others.
-        membership: Who they are, and which version each enforces.
-        random: Chooses whom to tell and whom to ask.
-        settings: Times and numbers.
+        peers: The links to the other instances.
+        membership: The other instances, with the version that each enforces.
+        random: Chooses the instances to announce to and to fetch from, and varies delays.
+        settings: Time-outs, delays and limits.
     """
 
     def __init__(
@@ -86,7 +87,7 @@
         self._current: Snapshot | None = None
         self._history = DeltaHistory()
         self._encoded: OrderedDict[tuple[int, int], _Encoded] = OrderedDict()
-        self._announced: OrderedDict[PeerAddress, int] = OrderedDict()
+        self._announcements: OrderedDict[PeerAddress, int] = OrderedDict()
         self._callbacks: list[Callable[[Snapshot], None]] = []
         self._fetch_wanted = trio.Event()
         self._fetch_wanted.set()
@@ -99,18 +100,18 @@
         return self._current
 
     def on_snapshot(self, callback: Callable[[Snapshot], None]) -> None:
-        """Call ``callback`` with each newer configuration that a peer had."""
+        """Call ``callback`` with each newer configuration that is fetched from a peer."""
         self._callbacks.append(callback)
 
     def offer(self, snapshot: Snapshot) -> bool:
-        """Take in what was read from the platform and tell the others; False if it is not newer."""
+        """Accept and announce a snapshot from the platform; return whether it is newer."""
         if snapshot.change.version <= self._version:
             return False
         self._accept(add_content_hashes(snapshot))
         return True
 
     async def run(self) -> None:
-        """Fetch what others have, until cancelled."""
+        """Fetch newer versions from peers until cancelled."""
         while True:
             await self._fetch_wanted.wait()
             self._fetch_wanted = trio.Event()
@@ -118,7 +119,7 @@
             if source is None:
                 continue
             if not await self._fetch(source):
-                self._announced.pop(source, None)
+                self._announcements.pop(source, None)
                 await trio.sleep(self._settings.retry_pause_s * self._random.uniform(0.5, 1.5))
             self._fetch_wanted.set()
 
@@ -150,9 +151,9 @@
 
     def _on_announcement(self, received: Received) -> None:
         if received.message.version > self._version:
-            self._announced[received.sender] = received.message.version
-            if len(self._announced) > MAX_ANNOUNCEMENTS:
-                self._announced.popitem(last=False)
+            self._announcements[received.sender] = received.message.version
+            if len(self._announcements) > MAX_ANNOUNCEMENTS:
+                self._announcements.popitem(last=False)
             self._fetch_wanted.set()
 
     def _choose_source(self) -> PeerAddress | None:
@@ -164,23 +165,25 @@
         sources = [
             member.peer_address for member in members if member.config_version > self._version
         ]
-        sources += [to for to, version in self._announced.items() if version > self._version]
+        sources += [
+            peer for peer, version in self._announcements.items() if version > self._version
+        ]
         if not sources and self._current is None:
-            # Nobody enforces a version yet, but one may have got it just now.
+            # No member reports a version yet, but one may have just received its first.
             sources = [member.peer_address for member in members]
         return self._random.choice(sources) if sources else None
 
     async def _fetch(self, source: PeerAddress) -> bool:
-        """Fetch what one other has; False if nothing newer came of it."""
+        """Fetch the newest version of one peer; return whether it had a newer one."""
         try:
             snapshot = await self._fetch_from(source, self._current)
         except BrokenDelta as error:
-            # The other one's idea of what this one has is wrong; everything is always right.
+            # The peer made the delta for another base; the whole configuration needs none.
             log_event("config-delta-broken", level="WARNING", source=source, reason=error)
             snapshot = await self._fetch_from(source, None)
         if snapshot is None:
             return False
-        # The platform may have delivered a newer one while the parts were on their way.
+        # The platform may have delivered a newer version during the fetch.
         if snapshot.change.version > self._version:
             self._accept(snapshot)
             for callback in self._callbacks:
@@ -188,10 +191,10 @@
         return True
 
     async def _fetch_from(self, source: PeerAddress, base: Snapshot | None) -> Snapshot | None:
-        """Fetch the newest version that one other has; None if it has nothing newer.
+        """Return the newest version of one peer; None if it has none newer or does not answer.
 
         Raises:
-            BrokenDelta: What arrived does not lead to that version.
+            BrokenDelta: The received delta does not lead to that version.
         """
         from_version = base.change.version if base is not None else 0
         first_part = await self._request_part(source, ConfigRequest(from_version, 0, 0))
@@ -237,7 +240,7 @@
         current = self._current
         if current is None or request.from_version >= current.change.version:
             return None
-        # Parts of a version that was replaced while it is being fetched are still given out.
+        # Parts of an older version are still served, so that a fetch that has begun can finish.
         key = (request.from_version, request.version or current.change.version)
         encoded = self._encoded.get(key)
         if encoded is None and key[1] == current.change.version:
--- a/src/wagtailpoint/membership/gossip.py
+++ b/src/wagtailpoint/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Telling news on: to a few members at once, and along with every probe."""
+"""Gossip of updates: pushed to a few random members, and piggybacked on every probe."""
 
 from collections.abc import Callable
 from random import Random
@@ -17,13 +17,13 @@
 
 
 class Gossiper:
-    """Takes news in, tells it on, and wakes who waits for changes.
+    """Applies and gossips updates, and notifies those that wait for changes of the view.
 
     Args:
         table: The view of this instance.
-        peers: The links to the others.
-        random: Chooses whom to tell.
-        settings: Times and numbers.
+        peers: The links to the other instances.
+        random: Chooses the receivers and varies the delays.
+        settings: Delays and limits.
     """
 
     def __init__(
@@ -48,12 +48,12 @@
         await self._changed.wait()
 
     def apply(self, news: News) -> None:
-        """Take in news."""
+        """Merge received updates into the view."""
         if self._table.apply_news(news):
             self.notify_change()
 
     def notify_change(self) -> None:
-        """Tell on, and wake who waits, after the view was changed."""
+        """Schedule gossip, wake waiting tasks and run callbacks after a change of the view."""
         if self._table.has_news:
             self._arrived.set()
         if self._table.has_urgent_news:
@@ -64,16 +64,16 @@
             callback()
 
     def piggyback(self, to: str) -> News:
-        """Return what goes along with a probe or its answer."""
-        about = self._table.fact(to)
+        """Return the updates to send along with a probe of ``to``, or with an answer to it."""
+        receiver = self._table.fact(to)
         news = self._table.collect_news(MAX_PIGGYBACKED_NEWS)
         changes = [extract_change(self._table.own)]
-        if about is not None and about.suspect:
-            changes.append(extract_change(about))
+        if receiver is not None and receiver.suspect:
+            changes.append(extract_change(receiver))
         return news._replace(changes=(*changes, *news.changes))
 
     async def run(self) -> None:
-        """Tell news on until cancelled."""
+        """Push updates until cancelled."""
         while True:
             await self._arrived.wait()
             self._arrived = trio.Event()
@@ -90,7 +90,11 @@
                 await self._urgent.wait()
 
     def push(self, fanout: int) -> bool:
-        """Tell news to a few members, and suspects that they are suspected; False if to nobody."""
+        """Send updates to ``fanout`` random members, and notify suspects.
+
+        Returns:
+            False if there is no member to send to.
+        """
         others = self._table.reachable()
         chosen = self._random.sample(others, min(fanout, len(others)))
         for fact in chosen:
@@ -102,7 +106,7 @@
         return bool(chosen)
 
     def _notify_suspects(self, news: News, *, exclude: str) -> None:
-        """Tell suspects at once that they are, so that they refute it in time."""
+        """Notify suspects of the suspicion, so that they can refute it in time."""
         for change in news.changes:
             fact = self._table.fact(unpack_address(change.packed_address))
             if change.suspect and fact is not None and fact.address != exclude:
--- a/src/wagtailpoint/membership/member.py
+++ b/src/wagtailpoint/membership/member.py
@@ -1,4 +1,4 @@
-"""What is known of one instance."""
+"""The state of one instance, as it reports it and as other instances see it."""
 
 from hashlib import blake2b
 from typing import Final, Literal, NamedTuple
@@ -9,27 +9,28 @@
 MemberState = Literal["starting", "live", "leaving", "dead"]
 
 MAX_CAPACITY: Final = 10_000.0
-"""In processor cores; no instance has more."""
+"""In processor cores; larger than any instance has, so greater values are invalid."""
 
 
 class Fact(NamedTuple):
-    """What an instance says of itself, and whether others doubt that it lives.
+    """The state that an instance reports of itself, and whether it is suspected to be dead.
 
     Attributes:
-        address: Its IP number; names the instance.
-        port: Where it hears callers.
-        peer_port: Where it hears its peers.
+        address: Its IP address, which identifies the instance.
+        port: The port on which it accepts callers.
+        peer_port: The port on which it accepts its peers.
         region: Its region.
         failure_domain: Its failure domain.
-        incarnation: Random at the start of its process.
-        sequence: Rises with each change of what it says. Starts at the wall clock, and above
-            whatever a former process at this address had said.
+        incarnation: A random number that identifies its process.
+        sequence: Increases with each change of the fact. Starts at the wall clock in milliseconds,
+            and is raised above the sequence of a former process at this address.
         epoch: The epoch of its binding.
-        state: ``dead`` here is its own farewell; a death noticed by others is never told on.
-        suspect: Somebody got no answer from it.
+        state: ``dead`` only if the instance itself announced its exit; deaths concluded by other
+            instances are not gossiped.
+        suspect: Whether a probe of it failed.
         config_version: The configuration that it enforces; 0 before the first.
         load: 0 (idle) to 1.
-        capacity: How much it can do beside others; never changes while its process lives.
+        capacity: Its capacity relative to other instances; constant while its process lives.
     """
 
     address: str
@@ -48,22 +49,22 @@
 
     @property
     def recency(self) -> tuple[int, int, bool]:
-        """Of two facts on the same address, the greater is the newer one."""
+        """The sort key of facts on the same address: the newer fact has the greater one."""
         return (self.sequence, self.incarnation, self.suspect)
 
     @property
     def is_valid(self) -> bool:
-        """Whether its figures can be true; others would spoil every decision made by them."""
+        """Whether load and capacity are in range; others would distort decisions based on them."""
         return 0.0 <= self.load <= 1.0 and 0.0 < self.capacity <= MAX_CAPACITY
 
     @property
     def peer_address(self) -> PeerAddress:
-        """Where to send it messages."""
+        """The address for messages to this process."""
         return PeerAddress(self.address, self.peer_port, self.incarnation)
 
     @property
     def hash(self) -> int:
-        """64 bits that differ, in all likelihood, when the facts do."""
+        """A 64-bit hash; facts that differ have different hashes with high probability."""
         text = f"{self.address} {self.incarnation} {self.sequence} {self.suspect}"
         return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
@@ -72,18 +73,18 @@
     """An instance as this instance sees it.
 
     Attributes:
-        address: Its IP number.
-        port: Where it hears callers.
-        peer_port: Where it hears its peers.
+        address: Its IP address.
+        port: The port on which it accepts callers.
+        peer_port: The port on which it accepts its peers.
         region: Its region.
         failure_domain: Its failure domain.
-        incarnation: Random at the start of its process.
+        incarnation: A random number that identifies its process.
         epoch: The epoch of its binding.
-        state: ``dead`` when it said farewell or was not heard of for too long.
-        suspect: It may be dead; nobody has heard from it since somebody asked.
+        state: ``dead`` if it announced its exit or did not refute a suspicion in time.
+        suspect: Whether it may be dead: a probe failed, and it has not refuted that since.
         config_version: The configuration that it enforces; 0 before the first.
-        load: 0 (idle) to 1, coarse and late.
-        capacity: How much it can do beside others.
+        load: 0 (idle) to 1; published in coarse steps and with delay.
+        capacity: Its capacity relative to other instances.
     """
 
     address: str
@@ -101,22 +102,22 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether it takes requests, and nobody doubts that it lives."""
+        """Whether it accepts requests and is not suspected to be dead."""
         return self.state == "live" and not self.suspect
 
     @property
     def peer_address(self) -> PeerAddress:
-        """Where to send it messages."""
+        """The address for messages to this process."""
         return PeerAddress(self.address, self.peer_port, self.incarnation)
 
 
 def capacity_sort_key(member: Member, purpose: str) -> tuple[float, int]:
-    """Orders members: the most capable first, equal ones by a hash for the purpose."""
+    """Return a sort key: greatest capacity first, ties broken by a hash for the purpose."""
     return (-member.capacity, rendezvous_score(purpose, member.address))
 
 
 def make_member(fact: Fact, *, dead: bool) -> Member:
-    """Combine what an instance said with this instance's own conclusion."""
+    """Return a member from its fact and from whether this instance considers it dead."""
     return Member(
         address=fact.address,
         port=fact.port,
--- a/src/wagtailpoint/membership/messages.py
+++ b/src/wagtailpoint/membership/messages.py
@@ -1,4 +1,4 @@
-"""The messages of the membership."""
+"""The messages of the membership protocol."""
 
 from typing import NamedTuple
 
@@ -8,11 +8,11 @@
 
 
 class Ping(NamedTuple):
-    """Asks an instance whether it lives.
+    """Probes an instance: asks whether it is alive.
 
     Attributes:
-        news: The sender's own state, what the sender believes of the one asked if it doubts that
-            it lives, and news.
+        news: The sender's own state, the receiver's state as the sender sees it if it suspects
+            the receiver to be dead, and other updates.
         view_hash: The hash of the sender's view.
     """
 
@@ -28,7 +28,7 @@
 
 
 class IndirectPing(NamedTuple):
-    """Asks an instance to ping another one that the sender gets no answer from."""
+    """Asks an instance to ping another one that did not answer the sender's ping."""
 
     address: str
     peer_port: int
@@ -36,23 +36,23 @@
 
 
 class IndirectPingResult(NamedTuple):
-    """Whether the other one answered."""
+    """Whether the target of an ``IndirectPing`` answered."""
 
     answered: bool
 
 
 class Gossip(NamedTuple):
-    """News, sent on at once."""
+    """Updates on members, sent apart from probes."""
 
     news: News
 
 
 class SyncRequest(NamedTuple):
-    """Asks for the facts in all buckets whose hash differs from the sender's.
+    """Requests the facts in all buckets whose hash differs from the sender's.
 
     Attributes:
-        own: The sender's fact.
-        buckets: The hashes of the sender's view, by bucket of addresses.
+        own: The fact of the sender itself.
+        buckets: The hash of each bucket of addresses in the sender's view.
     """
 
     own: Fact
@@ -60,12 +60,12 @@
 
 
 class SyncReply(NamedTuple):
-    """The facts in the buckets that differ, or as many as go into a message.
+    """The facts in the buckets that differ, up to the limit of one message.
 
     Attributes:
-        facts: The facts.
-        buckets: The hashes of the replier's view.
-        complete: False if there were more.
+        facts: The facts in those buckets.
+        buckets: The hash of each bucket of addresses in the replier's view.
+        complete: Whether ``facts`` holds all facts of those buckets.
     """
 
     facts: tuple[Fact, ...]
--- a/src/wagtailpoint/membership/probing.py
+++ b/src/wagtailpoint/membership/probing.py
@@ -1,4 +1,4 @@
-"""Probing: each period one other member, directly and then through others."""
+"""Failure detection: probes one member per period, directly and then through other members."""
 
 from math import log10
 from random import Random
@@ -17,15 +17,15 @@
 
 
 class Prober:
-    """Asks the others in turn whether they live, and concludes deaths.
+    """Probes the other members in turn, suspects those that do not answer, and declares deaths.
 
     Args:
         table: The view of this instance.
-        teller: Gives the news that goes along.
-        comparer: Is told when the view of the other one differs.
-        peers: The links to the others.
-        random: Chooses the order, and who helps.
-        settings: Times and numbers.
+        gossiper: Supplies the updates to piggyback and applies received ones.
+        synchroniser: Records the view hashes of other members.
+        peers: The links to the other instances.
+        random: Chooses the order of probes, and the members for indirect probes.
+        settings: Intervals, time-outs and limits.
     """
 
     def __init__(
@@ -48,10 +48,10 @@
         self._ping_requests: list[tuple[Received, PeerAddress]] = []
         self._ping_requested = trio.Event()
         peers.handle(Ping, self._on_ping)
-        peers.handle(IndirectPing, self._on_ping_for)
+        peers.handle(IndirectPing, self._on_indirect_ping)
 
     async def run(self) -> None:
-        """Probe until cancelled."""
+        """Probe members, and serve requests for indirect probes, until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._probe_members)
             nursery.start_soon(self._serve_ping_requests, nursery)
@@ -86,18 +86,21 @@
         if self._table.fact(fact.address) != before:
             self._gossiper.notify_change()
 
-    async def _ping(self, to: PeerAddress) -> bool:
-        """Ping one address; True if it answered."""
-        ping = Ping(self._gossiper.piggyback(to.address), self._table.view_hash)
-        match await self._peers.request(to, ping, timeout_s=self._settings.reply_timeout_s):
+    async def _ping(self, peer: PeerAddress) -> bool:
+        """Ping one process; return whether it answered."""
+        ping = Ping(self._gossiper.piggyback(peer.address), self._table.view_hash)
+        match await self._peers.request(peer, ping, timeout_s=self._settings.reply_timeout_s):
             case Ok(Ack() as ack):
-                self._apply_message(ack, sender=to)
+                self._apply_message(ack, sender=peer)
                 return True
             case _:
                 return False
 
     async def _ping_indirectly(self, fact: Fact) -> bool:
-        """Ask others to ping a member: only the link from here to it may be cut."""
+        """Ask other members to ping a member; return whether it answered any of them.
+
+        The member may be alive even if the link between it and this instance is broken.
+        """
         others = [other for other in self._table.reachable() if other.address != fact.address]
         helpers = self._random.sample(others, min(self._settings.indirect_probes, len(others)))
         answered = False
@@ -105,9 +108,9 @@
 
             async def ping_through(helper: Fact) -> None:
                 nonlocal answered
-                question = IndirectPing(fact.address, fact.peer_port, fact.incarnation)
+                request = IndirectPing(fact.address, fact.peer_port, fact.incarnation)
                 timeout_s = 2.5 * self._settings.reply_timeout_s
-                match await self._peers.request(helper.peer_address, question, timeout_s=timeout_s):
+                match await self._peers.request(helper.peer_address, request, timeout_s=timeout_s):
                     case Ok(IndirectPingResult(answered=True)):
                         answered = True
                         nursery.cancel_scope.cancel()
@@ -131,9 +134,9 @@
         self._apply_message(received.message, sender=received.sender)
         return Ack(self._gossiper.piggyback(received.sender.address), self._table.view_hash)
 
-    def _on_ping_for(self, received: Received) -> None:
-        question = received.message
-        target = PeerAddress(question.address, question.peer_port, question.incarnation)
+    def _on_indirect_ping(self, received: Received) -> None:
+        request = received.message
+        target = PeerAddress(request.address, request.peer_port, request.incarnation)
         self._ping_requests.append((received, target))
         self._ping_requested.set()
 
--- a/src/wagtailpoint/membership/reconnection.py
+++ b/src/wagtailpoint/membership/reconnection.py
@@ -1,4 +1,4 @@
-"""Finding the first other members, and those lost behind a cut."""
+"""Contact with the first other members, and with those lost during a network partition."""
 
 from collections.abc import Callable, Sequence
 from random import Random
@@ -14,15 +14,17 @@
 
 
 class Reconnector:
-    """Asks, slowly and for as long as they are remembered, whether the dead live again.
+    """Contacts seeds, listed instances and dead members in turn, to find those that are alive.
+
+    Dead members are contacted at a low rate for as long as the table keeps them.
 
     Args:
         table: The view of this instance.
-        comparer: Compares views with whoever answers.
-        random: Chooses the order.
-        seeds: Where to look for the first other members.
-        hints: Reads addresses from the platform's list.
-        settings: Times and numbers.
+        synchroniser: Synchronises the view with a member that answers.
+        random: Chooses the order and varies the intervals.
+        seeds: The configured addresses of the first other members.
+        hints: Returns the addresses in the platform's list of instances.
+        settings: Intervals and time-outs.
     """
 
     def __init__(
@@ -44,7 +46,7 @@
         self._queue: list[PeerAddress] = []
 
     async def run(self) -> None:
-        """Ask one after the other until cancelled."""
+        """Contact one candidate after the other until cancelled."""
         while True:
             peer = self._next_candidate()
             if peer is not None and await self._synchroniser.sync(peer):
@@ -64,7 +66,7 @@
         for peer in (*self._seeds, *self._hints()):
             candidates.setdefault(peer.address, peer)
         queue = [
-            # Whoever listens there now may be another process than the one that died.
+            # The process that listens there may be another one than the process that died.
             peer._replace(incarnation=ANY_INCARNATION)
             for address, peer in candidates.items()
             if address not in known
--- a/src/wagtailpoint/membership/service.py
+++ b/src/wagtailpoint/membership/service.py
@@ -1,7 +1,8 @@
-"""The members as one instance sees them; the tasks behind it have modules of their own.
+"""The membership of the cluster as one instance sees it.
 
-The cost for each instance does not grow with their number: each probes one other a period (SWIM,
-Das, Gupta and Motivala 2002), and tells only changes on.
+The probing cost of an instance does not grow with the number of members: it probes one member per
+period (SWIM, Das, Gupta and Motivala 2002) and gossips changes only. Probing, gossip,
+synchronisation of views and reconnection have modules of their own.
 """
 
 from collections.abc import Callable, Sequence
@@ -24,16 +25,18 @@
 
 
 class Membership:
-    """The members as this instance sees them, and what it tells them of itself.
+    """Tracks the members as this instance sees them, and publishes its own state to them.
 
     Args:
-        own: The fact of this instance; its sequence is the wall clock in milliseconds.
-        peers: The links to the others.
+        own: The initial fact of this instance; its sequence is the wall clock in milliseconds.
+        peers: The links to the other instances.
         clock: The clocks of this instance.
-        random: Chooses whom to probe and to tell.
-        seeds: Where to look for the first other members; the addresses' own one may be among them.
-        hints: Reads addresses from the platform's list, which lags and may be empty.
-        settings: Times and numbers.
+        random: Chooses the members to probe and to gossip to.
+        seeds: The configured addresses of the first other members; this instance's own address
+            may be among them.
+        hints: Returns the addresses in the platform's list of instances, which may be out of date
+            or empty.
+        settings: Intervals, time-outs and limits.
     """
 
     def __init__(
@@ -86,21 +89,21 @@
 
     @property
     def own(self) -> Member:
-        """This instance."""
+        """This instance as a member."""
         return next(
             member for member in self.members() if member.address == self._table.own.address
         )
 
     def members(self) -> tuple[Member, ...]:
-        """Return all members by address: this instance, and also the leaving and the dead."""
+        """Return all members sorted by address, including this instance, leaving and dead ones."""
         return self._table.members
 
     def member(self, address: str) -> Member | None:
-        """Return one member."""
+        """Return the member at an address; None if there is none."""
         return next((member for member in self.members() if member.address == address), None)
 
     def others(self) -> Sequence[PeerAddress]:
-        """Return where the other instances that are not known to be dead are heard."""
+        """Return the peer addresses of all other members that are not dead."""
         own = self._table.own.address
         return [
             member.peer_address
@@ -124,10 +127,11 @@
         config_version: int | None = None,
         load: float | None = None,
     ) -> None:
-        """Tell the others something of this instance; what is not given stays as it was.
+        """Publish state of this instance; arguments that are None leave the value unchanged.
 
-        The load alone is told on only if it moved by ``load_step``, and the more rarely the more
-        members there are, so that it cannot fill the control budget.
+        A change of the load alone is published only if it is at least ``load_step``, at an
+        interval that grows with the number of members, so that loads cannot use up the bandwidth
+        for control messages.
         """
         own = self._table.own
         changed = own._replace(
@@ -143,19 +147,19 @@
             self._gossiper.notify_change()
 
     def leave(self) -> None:
-        """Tell the others that this instance takes no more work; it goes on answering them."""
+        """Announce that this instance accepts no more work; it goes on answering its peers."""
         self.publish(state="leaving")
 
     def announce_exit(self) -> None:
-        """Tell a few others at once that this process ends now, so that no suspicion is needed."""
+        """Announce to a few members that this process exits, which saves them a suspicion."""
         self.publish(state="dead")
         self._gossiper.push(self._settings.push_fanout * 2)
 
     def watchers(self, failure_domain: str, count: int) -> tuple[Member, ...]:
-        """Return who should hold the platform watch for a failure domain.
+        """Return up to ``count`` members that should watch the platform for a failure domain.
 
-        All instances with the same view name the same ones. When views differ more than ``count``
-        may watch for a while, which costs a few calls and harms nothing.
+        All instances with the same view choose the same members. While views differ, more than
+        ``count`` may watch, which costs a few additional calls and does no other harm.
         """
         live = [
             member
@@ -167,7 +171,7 @@
         return tuple(live[:count])
 
     async def run(self) -> None:
-        """Run the tasks until cancelled."""
+        """Run probing, gossip, synchronisation and reconnection until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._prober.run)
             nursery.start_soon(self._gossiper.run)
--- a/src/wagtailpoint/membership/settings.py
+++ b/src/wagtailpoint/membership/settings.py
@@ -1,36 +1,39 @@
-"""The times and numbers of the membership."""
+"""The settings of the membership protocol."""
 
 import math
 from typing import NamedTuple
 
 
 class MembershipSettings(NamedTuple):
-    """The times and numbers of the membership.
+    """Intervals, time-outs and limits of the membership protocol; times are in seconds.
 
     Attributes:
-        heartbeat_interval_s: Each instance probes one other in each such period.
-        reply_timeout_s: How long an answer to a probe may take; more than a round trip between
-            the regions furthest apart.
-        indirect_probes: How many others are asked to probe whom gives no answer.
-        suspicion_periods: How many periods a suspect has to speak up; times the decimal logarithm
-            of the number of members if that is above 1, as news then takes longer.
-        push_delay_s: News waits this long for more before it is told on.
-        report_delay_s: News of epochs and loads alone waits this long for more: at hundreds of
-            instances some come all the time, and each would go out in messages of its own.
-        push_fanout: How many members are told at once.
-        gossip_copies: How often one instance tells a piece of news on, at most.
-        report_copies: The same, of a change that is not of the state: the version enforced, the
-            epoch, the load. All instances report each change of the configuration, so these are
-            most of what is told; a leave or a suspicion must be told faster.
-        quiet_s: Views that differ are compared after no news came for so long.
-        sync_interval_s: They are compared after so long in any case.
-        retry_interval_s: In each such period one of the dead, the seeds and the platform's list
-            that is not known to live is asked whether it does.
-        forget_dead_s: How long the dead are remembered, and retried.
-        load_step: The load is told on when it has moved by this much.
-        urgent_load_step: A load that has moved by this much is told on like a change of the state,
-            but no more often than once in ``urgent_load_interval_s``.
-        urgent_load_interval_s: See there.
+        heartbeat_interval_s: The period in which each instance probes one other member.
+        reply_timeout_s: The time-out of a probe; longer than a round trip between the regions
+            furthest apart.
+        indirect_probes: The number of members that are asked to probe a member that did not
+            answer.
+        suspicion_periods: The number of heartbeat intervals in which a suspect can refute the
+            suspicion. Multiplied by the decimal logarithm of the number of members if that is
+            above 1, because gossip then takes longer.
+        push_delay_s: The time for which updates are batched before they are pushed.
+        report_delay_s: The additional time for which updates of epochs and loads alone are
+            batched. With hundreds of instances such updates arrive all the time, and each would
+            otherwise be sent in messages of its own.
+        push_fanout: The number of members to which updates are pushed at a time.
+        gossip_copies: The maximum number of times that one instance sends an update.
+        report_copies: Likewise for an update that does not change the state: the enforced version,
+            the epoch or the load. All instances report each change of the configuration, so these
+            are most of the updates; a leave or a suspicion must spread faster.
+        quiet_s: Views that differ are synchronised once no updates were pending for this long.
+        sync_interval_s: The time after which they are synchronised in any case.
+        retry_interval_s: The interval between contacts of candidates: dead members, seeds, and
+            instances in the platform's list that are not known to be alive.
+        forget_dead_s: The time for which dead members are kept and contacted.
+        load_step: The minimum change of the load that is published.
+        urgent_load_step: A change of the load by this much is gossiped as fast as a change of the
+            state, but at most once in ``urgent_load_interval_s``.
+        urgent_load_interval_s: The minimum interval between two such changes.
     """
 
     heartbeat_interval_s: float = 1.0
--- a/src/wagtailpoint/membership/table.py
+++ b/src/wagtailpoint/membership/table.py
@@ -1,4 +1,4 @@
-"""The view of one instance: the newest fact of each address, and which of them are news."""
+"""The view of one instance: the newest fact on each address, and pending updates."""
 
 import math
 from collections.abc import Iterable
@@ -20,18 +20,18 @@
 
 
 class MemberTable:
-    """Merges facts, whatever the order in which they arrive.
+    """Merges facts, independently of the order in which they arrive.
 
-    Deaths are not told on: each instance concludes them itself, when a suspicion was not refuted
-    for a while. Otherwise two sides of a healed cut would, for a moment, each be told by the other
-    that all their own neighbours are dead.
+    Deaths are not gossiped: each instance declares a member dead itself if a suspicion is not
+    refuted in time. Otherwise, after a network partition heals, each side would for a moment
+    learn from the other that all its own members are dead.
 
     Args:
         own: The fact of this instance.
-        clock: Measures how long a suspicion stands.
-        gossip_copies: How often this instance tells a piece of news on, at most.
-        report_copies: The same, of a change of anything but the state.
-        urgent_load_step: A change of the load by so much is urgent news.
+        clock: Measures the age of suspicions and deaths.
+        gossip_copies: The maximum number of times that this instance sends an update.
+        report_copies: Likewise for an update that does not change the state.
+        urgent_load_step: The minimum change of the load that makes an update urgent.
     """
 
     def __init__(
@@ -65,12 +65,12 @@
 
     @property
     def buckets(self) -> tuple[int, ...]:
-        """The hashes of the view, dead members left out, by bucket of addresses."""
+        """The hash of each bucket of addresses, without dead members."""
         return tuple(self._buckets)
 
     @property
     def view_hash(self) -> int:
-        """A hash of the whole view."""
+        """A hash of the whole view, without dead members."""
         combined = 0
         for bucket in self._buckets:
             combined ^= bucket
@@ -78,17 +78,17 @@
 
     @property
     def has_news(self) -> bool:
-        """Some facts have not been told on often enough."""
+        """Whether there are updates still to be gossiped."""
         return bool(self._remaining_copies)
 
     @property
     def has_urgent_news(self) -> bool:
-        """Among the news is more than epochs and loads."""
+        """Whether updates other than of epochs and small changes of load are to be gossiped."""
         return bool(self._urgent)
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """All members by address, this instance and the dead among them."""
+        """All members sorted by address, including this instance and dead ones."""
         if self._members is None:
             self._members = tuple(
                 make_member(fact, dead=self.is_dead(address))
@@ -97,15 +97,15 @@
         return self._members
 
     def fact(self, address: str) -> Fact | None:
-        """Return the newest fact on an address."""
+        """Return the newest fact on an address; None if there is none."""
         return self._facts.get(address)
 
     def is_dead(self, address: str) -> bool:
-        """Tell whether an address is taken for dead."""
+        """Return whether this instance considers the member at an address dead."""
         return address in self._dead_since or self._facts[address].state == "dead"
 
     def reachable(self) -> list[Fact]:
-        """Return all facts but the own one and those of the dead."""
+        """Return the facts of all other members that are not dead."""
         return [
             fact
             for address, fact in self._facts.items()
@@ -113,16 +113,16 @@
         ]
 
     def dead(self) -> list[Fact]:
-        """Return the facts of the dead."""
+        """Return the facts of dead members."""
         return [fact for address, fact in self._facts.items() if self.is_dead(address)]
 
     def publish(self, own: Fact) -> None:
-        """Change what this instance says of itself."""
+        """Replace the fact of this instance, with a higher sequence."""
         self._own = own._replace(sequence=self._own.sequence + 1, suspect=False)
         self._store(self._own)
 
     def apply(self, fact: Fact) -> bool:
-        """Take in a fact; True if it was news."""
+        """Merge a received fact; return whether it changed the view."""
         if not fact.is_valid:
             log_event("fact-impossible", level="WARNING", address=fact.address, fact=fact)
             return False
@@ -137,18 +137,18 @@
         return True
 
     def apply_news(self, news: News) -> bool:
-        """Take in news; True if some of it was new here."""
+        """Merge received updates; return whether they changed the view."""
         applied = [self.apply(fact) for fact in news.facts]
         applied += [self._apply_change(change) for change in news.changes]
         return any(applied)
 
     def suspect(self, fact: Fact) -> None:
-        """Doubt that a member lives, unless something newer was heard of it meanwhile."""
+        """Mark a member as suspect, unless a newer fact on it has arrived meanwhile."""
         if self._facts.get(fact.address) == fact and not fact.suspect:
             self._store(fact._replace(suspect=True))
 
     def declare_deaths(self, *, suspicion_s: float) -> list[Fact]:
-        """Take for dead whom has been suspected, without a word from it, for ``suspicion_s``."""
+        """Declare members dead that have not refuted a suspicion for ``suspicion_s`` seconds."""
         cutoff = self._monotonic() - suspicion_s
         newly_dead = [
             self._facts[address]
@@ -162,14 +162,14 @@
         return newly_dead
 
     def expire_dead(self, *, retention_s: float) -> None:
-        """Drop members that have been dead for ``dead_s``."""
+        """Remove members that have been dead for ``retention_s`` seconds."""
         cutoff = self._monotonic() - retention_s
         for address, since in list(self._dead_since.items()):
             if since <= cutoff:
                 self._remove(address)
 
     def collect_news(self, max_count: int) -> News:
-        """Return what was told on least, counting it as told."""
+        """Return up to ``max_count`` updates, least often sent first, and count them as sent."""
         addresses = sorted(
             self._remaining_copies, key=lambda address: -self._remaining_copies[address]
         )
@@ -184,7 +184,10 @@
         return News(tuple(facts), tuple(changes))
 
     def facts_in_differing_buckets(self, buckets: Iterable[int]) -> list[Fact]:
-        """Return the facts in all buckets whose hash differs, the dead as suspects among them."""
+        """Return the facts in all buckets whose hash differs.
+
+        Members that this instance declared dead are included, marked as suspect.
+        """
         differing = {
             index
             for index, (own, other) in enumerate(zip(self._buckets, buckets, strict=False))
@@ -195,8 +198,9 @@
         ]
 
     def _refute(self, fact: Fact) -> bool:
-        # Somebody doubts that this instance lives, or remembers the process that had this address
-        # before. Only a higher sequence ends that; otherwise this instance would be dead to all.
+        # Another instance suspects this one, or still knows the former process at this address.
+        # Only a fact with a higher sequence overrides that; without it all instances would
+        # consider this one dead.
         is_other_process = fact.incarnation != self._own.incarnation
         if fact.recency <= self._own.recency and not (
             is_other_process and fact.sequence >= self._own.sequence
@@ -241,7 +245,7 @@
             self._toggle_hash(fact)
         if known is None or self._is_urgent(fact, known):
             self._urgent.add(fact.address)
-        # A leave that is still being told must not be told more rarely for a load after it.
+        # An update of the load must not reduce the copies of a leave that is still being gossiped.
         remaining_copies = self._remaining_copies.get(fact.address, 0)
         self._remaining_copies[fact.address] = max(remaining_copies, self._max_copies(fact, known))
         self._members = None
--- a/src/wagtailpoint/membership/view_sync.py
+++ b/src/wagtailpoint/membership/view_sync.py
@@ -1,4 +1,4 @@
-"""Comparing views: two members exchange what differs, when news did not reach everybody."""
+"""Anti-entropy: two members with different views exchange the facts in which they differ."""
 
 from random import Random
 
@@ -17,14 +17,14 @@
 
 
 class ViewSynchroniser:
-    """Compares the own view with that of a member that has another one.
+    """Synchronises the view of this instance with that of a member whose view differs.
 
     Args:
         table: The view of this instance.
-        teller: Takes in what the other one knew better.
-        peers: The links to the others.
-        random: Spreads the comparisons over time.
-        settings: Times and numbers.
+        gossiper: Applies the facts that were newer at the other member.
+        peers: The links to the other instances.
+        random: Varies the times of synchronisation, and the choice of facts if not all fit.
+        settings: Intervals, time-outs and limits.
     """
 
     def __init__(
@@ -47,24 +47,24 @@
         peers.handle(SyncRequest, self._on_sync)
 
     def record_view_hash(self, view_hash: int, *, sender: PeerAddress) -> None:
-        """Take note of the hash of somebody's view."""
+        """Record the hash of a peer's view, and request a synchronisation if it differs."""
         if view_hash != self._table.view_hash:
             self._sync_peer, self._peer_hash = sender, view_hash
             self._sync_wanted.set()
 
     async def run(self) -> None:
-        """Compare views that stay different, until cancelled."""
+        """Synchronise with peers whose views stay different, until cancelled."""
         while True:
             await self._sync_wanted.wait()
             self._sync_wanted = trio.Event()
             await self._wait_for_quiet()
-            # News that arrived meanwhile may have made both views the same.
+            # News that arrived meanwhile may have made both views equal.
             if self._sync_peer is not None and self._peer_hash != self._table.view_hash:
                 await self.sync(self._sync_peer)
 
     async def _wait_for_quiet(self) -> None:
-        # While news is on its way views differ in many places, and comparing them would move all
-        # that the news brings anyway.
+        # While gossip is still spreading, views differ in many places, and a synchronisation would
+        # transfer what the gossip delivers anyway.
         with trio.move_on_after(self._settings.sync_interval_s):
             quiet = False
             while not quiet:
@@ -72,7 +72,7 @@
                 quiet = not self._table.has_news
 
     async def sync(self, peer: PeerAddress) -> bool:
-        """Exchange with one member what differs; True if it answered."""
+        """Exchange differing facts with one member; return whether it answered."""
         for _ in range(MAX_SYNC_ROUNDS):
             request = SyncRequest(self._table.own, self._table.buckets)
             timeout_s = 2 * self._settings.reply_timeout_s
--- a/tests/common/fixed_membership.py
+++ b/tests/common/fixed_membership.py
@@ -1,11 +1,11 @@
-"""A membership that knows all instances of one region from the start."""
+"""A membership with a fixed set of live instances in one region."""
 
 from wagtailpoint.membership.member import Member
 from wagtailpoint.ports.peers import PeerAddress
 
 
 class FixedMembership:
-    """All instances of one region, alive, as all of them see it."""
+    """Stands in for ``Membership``: all instances of one region, always live."""
 
     def __init__(self, *, addresses: list[PeerAddress], own: PeerAddress) -> None:
         self._members = tuple(
@@ -24,7 +24,7 @@
             )
             for peer in addresses
         )
-        self.own = next(each for each in self._members if each.address == own.address)
+        self.own = next(member for member in self._members if member.address == own.address)
 
     def members(self) -> tuple[Member, ...]:
         return self._members
--- a/tests/common/member_group.py
+++ b/tests/common/member_group.py
@@ -1,4 +1,4 @@
-"""A group of instances in one process, on links in memory and trio's mock clock."""
+"""A group of instances in one process, with in-memory links and Trio's mock clock."""
 
 from collections.abc import Awaitable, Callable
 from random import Random
@@ -24,7 +24,7 @@
 
 
 class Instance:
-    """One running instance."""
+    """One instance with its membership and configuration distribution."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
                 nursery.start_soon(self.spread.run)
 
     def offer(self, snapshot: Snapshot) -> bool:
-        """Hand over what the platform delivered to this instance."""
+        """Pass a snapshot to this instance as if the platform had delivered it."""
         newer = self.spread.offer(snapshot)
         if newer:
             self._enforce(snapshot)
@@ -86,12 +86,12 @@
         self.scope.cancel()
 
     def states(self) -> dict[str, str]:
-        """Return what this instance takes the others for."""
+        """Return the state of each member as this instance sees it, by address."""
         return {member.address: member.state for member in self.membership.members()}
 
 
 class MemberGroup:
-    """Starts instances and waits for what they come to see."""
+    """Starts instances and waits for conditions on their views."""
 
     def __init__(
         self, *, nursery: trio.Nursery, settings: MembershipSettings | None = None
@@ -105,7 +105,7 @@
     def start(
         self, address: str, *, region: str = REGIONS[0], wall_s: float | None = None
     ) -> Instance:
-        """Start an instance, or a replacement at an address in use before."""
+        """Start an instance, or a replacement at the address of a former one."""
         self._started += 1
         instance = Instance(
             network=self.network,
@@ -121,7 +121,7 @@
         return instance
 
     async def start_all(self, count: int) -> None:
-        """Start instances, a third in each region, and wait until all see all."""
+        """Start instances, a third in each region, and wait until all see each other live."""
         for number in range(1, count + 1):
             region = REGIONS[(number - 1) * len(REGIONS) // count]
             self.start(f"127.0.0.{number}", region=region)
@@ -135,7 +135,7 @@
         )
 
     def all_see(self, address: str, state: str) -> bool:
-        """Tell whether all running instances take one for this."""
+        """Return whether all other running instances see one instance in a state."""
         return all(
             instance.states().get(address) == state
             for instance in self.instances.values()
@@ -149,7 +149,7 @@
             if condition():
                 return trio.current_time() - started_at
             await trio.sleep(POLL_S)
-        raise AssertionError(f"not so after {within_s} s")
+        raise AssertionError(f"condition not met within {within_s} s")
 
 
 def run_group(
@@ -157,7 +157,7 @@
     *,
     settings: MembershipSettings | None = None,
 ) -> None:
-    """Run a test on a group of instances, on a clock that jumps over every wait."""
+    """Run a scenario on a group of instances, with a clock that skips over every wait."""
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
--- a/tests/cover/test_config_spread.py
+++ b/tests/cover/test_config_spread.py
@@ -1,4 +1,4 @@
-"""The configuration on its way between instances."""
+"""Distribution of the configuration between instances."""
 
 import unittest
 from random import Random
@@ -39,29 +39,28 @@
         self.history.add(*self.versions[:2])
         self.history.add(*self.versions[1:])
 
-    def test_delta_from_each_version_leads_to_the_newest(self) -> None:
+    def test_delta_from_each_version_gives_the_newest(self) -> None:
         newest = self.versions[-1]
         for base in self.versions[:2]:
             changed = self.history.changed_since(base.change.version)
             assert changed is not None
-            made = apply_delta(
+            result = apply_delta(
                 base,
                 encode_delta(newest, changed),
                 change=newest.change,
                 digest=compute_digest(newest.content_hashes),
             )
-            self.assertEqual(made, newest)
+            self.assertEqual(result, newest)
 
-    def test_what_changed_is_not_known_from_before_the_history(self) -> None:
+    def test_changes_from_before_the_history_are_unknown(self) -> None:
         self.assertEqual(self.history.changed_since(2), {"workspace/b", "workspace/c"})
         self.assertEqual(self.history.changed_since(4), {"workspace/b", "workspace/c"})
         self.assertIsNone(self.history.changed_since(0))
 
-    def test_broken_delta_is_refused(self) -> None:
-        """An instance enforces a configuration that never existed.
+    def test_broken_delta_is_rejected(self) -> None:
+        """Guards against enforcing a configuration that never existed.
 
-        Sequence: a delta is applied to another base than the sender believed, or a part of it is
-        lost. Cause: a delta is only right together with its base.
+        A delta is applied to another base than the one it was made for, or a part of it is lost.
         """
         newest = self.versions[-1]
         data = encode_delta(newest, frozenset({"workspace/c"}))
@@ -85,7 +84,7 @@
             lambda: all(i.versions[-1:] == [version] for i in group.instances.values())
         )
 
-    def test_change_reaches_all_from_one(self) -> None:
+    def test_change_offered_to_one_instance_reaches_all(self) -> None:
         async def scenario(group: MemberGroup) -> None:
             await group.start_all(9)
             for version in (1, 2):
@@ -109,11 +108,11 @@
 
         run_group(scenario)
 
-    def test_older_version_is_never_taken(self) -> None:
-        """A workspace that was locked is open again for a while.
+    def test_older_version_is_never_accepted(self) -> None:
+        """Guards against a locked workspace that is open again for a while.
 
-        Sequence: one instance reads an older version from a lagging copy of the platform and
-        offers it after the newer one. Cause: counting versions by arrival.
+        One instance reads an older version from a lagging replica of the platform and offers it
+        after the newer one, which would be replaced if versions were ordered by arrival.
         """
 
         async def scenario(group: MemberGroup) -> None:
@@ -127,11 +126,11 @@
 
         run_group(scenario)
 
-    def test_starting_instance_gets_everything_from_peers(self) -> None:
-        """A replacement cannot serve while the platform is out.
+    def test_starting_instance_gets_the_configuration_from_peers(self) -> None:
+        """Guards against a replacement that cannot serve during an outage of the platform.
 
-        Sequence: the platform is out; an instance is replaced at the same address. Cause: it would
-        have nobody else to get the configuration from.
+        An instance is replaced at the same address; its peers are its only source of the
+        configuration.
         """
 
         async def scenario(group: MemberGroup) -> None:
@@ -147,11 +146,12 @@
 
         run_group(scenario)
 
-    def test_starting_instance_gets_what_nobody_enforces_yet(self) -> None:
-        """A replacement waits for good while all others have a configuration.
+    def test_starting_instance_gets_a_version_that_is_not_enforced_yet(self) -> None:
+        """Guards against a replacement that waits forever while all others have a configuration.
 
-        Sequence: the others have got it, but do not enforce it yet; a replacement starts after
-        they told each other. Cause: asking only whom is known to enforce a version.
+        The other instances have received the version and announced it to each other before the
+        replacement starts, but do not enforce it yet. Requests only to instances known to enforce
+        a version would find none.
         """
 
         async def scenario(group: MemberGroup) -> None:
@@ -163,11 +163,12 @@
 
         run_group(scenario)
 
-    def test_region_behind_a_cut_catches_up_when_it_heals(self) -> None:
-        """A region enforces an old configuration for long after a cut.
+    def test_partitioned_region_catches_up_after_it_heals(self) -> None:
+        """Guards against a region that enforces a stale configuration long after a partition.
 
-        Sequence: a region is cut off; many changes are accepted meanwhile, more than are kept as
-        deltas; the cut heals. Cause: nobody tells of a version twice.
+        While the region is isolated, more changes are accepted than the history of deltas holds.
+        Each version is announced only once, so after the partition heals the region must learn of
+        it from the membership.
         """
 
         async def scenario(group: MemberGroup) -> None:
@@ -187,11 +188,10 @@
         with patch.object(config_delta, "MAX_HISTORY_STEPS", 8):
             run_group(scenario)
 
-    def test_source_that_freezes_in_the_middle(self) -> None:
-        """An instance waits for good for the rest of a configuration.
+    def test_fetch_continues_from_another_source(self) -> None:
+        """Guards against waiting forever for the rest of a configuration.
 
-        Sequence: the one that it fetches from freezes between two parts. Cause: a fetch bound to
-        one source.
+        The source freezes during a fetch, so the fetch must start again from another source.
         """
 
         async def scenario(group: MemberGroup) -> None:
--- a/tests/cover/test_member_table.py
+++ b/tests/cover/test_member_table.py
@@ -1,4 +1,4 @@
-"""How often the view of one instance tells a change on."""
+"""How often, and how urgently, a member table gossips updates; validation of facts."""
 
 import unittest
 from typing import Any
@@ -13,7 +13,7 @@
 COPIES, REPORT_COPIES = 5, 2
 
 
-class CopiesTest(unittest.TestCase):
+class GossipCopiesTest(unittest.TestCase):
     def setUp(self) -> None:
         self.table = MemberTable(
             own=OWN, clock=FakeClock(), gossip_copies=COPIES, report_copies=REPORT_COPIES
@@ -27,14 +27,18 @@
             copies += 1
         return copies
 
-    def test_reports_are_told_more_rarely_than_states(self) -> None:
+    def test_reports_are_sent_less_often_than_states(self) -> None:
         self.table.apply(OTHER._replace(sequence=2, config_version=9))
         self.assertEqual(self.count_copies(), REPORT_COPIES)
         self.table.apply(OTHER._replace(sequence=3, config_version=9, state="leaving"))
         self.assertEqual(self.count_copies(), COPIES)
 
-    def test_a_report_does_not_cut_a_leave_short(self) -> None:
-        """A leaving instance is still named by some lookups, for a load that it told after it."""
+    def test_report_does_not_reduce_the_copies_of_a_leave(self) -> None:
+        """Guards against lookups that still return a leaving instance.
+
+        The instance reports its load after the leave; the report is sent in fewer copies, so some
+        instances would not learn of the leave.
+        """
         leaving = OTHER._replace(sequence=2, state="leaving")
         self.table.apply(leaving)
         self.table.apply(leaving._replace(sequence=3, load=0.5))
@@ -42,8 +46,12 @@
 
 
 class UrgencyTest(unittest.TestCase):
-    def test_epochs_and_loads_can_wait(self) -> None:
-        """At 490 instances a new epoch every quarter of a second made three messages each time."""
+    def test_epochs_and_loads_are_not_urgent(self) -> None:
+        """Guards against separate messages for each report.
+
+        With 490 instances a new epoch arrived every quarter of a second and caused three messages
+        each time.
+        """
         table = MemberTable(own=OWN, clock=FakeClock(), gossip_copies=COPIES)
         table.apply(OTHER)
         self.assertTrue(table.has_urgent_news)
@@ -54,10 +62,10 @@
         table.apply(OTHER._replace(sequence=3, epoch=2, load=0.5, config_version=4))
         self.assertTrue(table.has_urgent_news)
 
-    def test_load_that_jumps_is_urgent_where_entries_follow_it(self) -> None:
-        """Symptom: the entries of a failure domain are overloaded for most of a burst.
+    def test_large_change_of_load_is_urgent(self) -> None:
+        """Guards against entries of a failure domain that are overloaded for most of a burst.
 
-        Cause: their load was told on like any report, a second later at each step of the way.
+        Their load was gossiped like any report, with a delay of one second at each hop.
         """
         table = MemberTable(own=OWN, clock=FakeClock(), gossip_copies=1, urgent_load_step=0.25)
         table.apply(OTHER)
@@ -69,15 +77,15 @@
         self.assertTrue(table.has_urgent_news)
 
 
-class ImpossibleFiguresTest(unittest.TestCase):
-    def test_they_are_refused_and_the_others_hold(self) -> None:
-        """Symptom: all callers of a failure domain are sent to one small instance.
+class InvalidFactsTest(unittest.TestCase):
+    def test_facts_out_of_range_are_rejected(self) -> None:
+        """Guards against sending all callers of a failure domain to one small instance.
 
-        Cause: it told, by a fault or from another version, a capacity that nothing has.
+        By a fault, or running another version, it reports a capacity that no instance has.
         """
         table = MemberTable(own=OWN, clock=FakeClock(), gossip_copies=1)
         self.assertTrue(table.apply(OTHER))
-        impossible: tuple[dict[str, Any], ...] = (
+        invalid: tuple[dict[str, Any], ...] = (
             {"capacity": float("nan")},
             {"capacity": float("inf")},
             {"capacity": 0.0},
@@ -87,6 +95,6 @@
             {"load": -0.1},
             {"load": 7.0},
         )
-        for figures in impossible:
-            self.assertFalse(table.apply(OTHER._replace(sequence=9, **figures)), figures)
+        for values in invalid:
+            self.assertFalse(table.apply(OTHER._replace(sequence=9, **values)), values)
         self.assertEqual(table.fact(OTHER.address), OTHER)
--- a/tests/cover/test_membership.py
+++ b/tests/cover/test_membership.py
@@ -1,4 +1,4 @@
-"""The membership under starts, stops, deaths, freezes and cuts."""
+"""Membership during starts, stops, deaths, freezes and network partitions."""
 
 import unittest
 
@@ -17,7 +17,7 @@
 
         run_group(scenario)
 
-    def test_own_facts_reach_all(self) -> None:
+    def test_published_state_reaches_all_instances(self) -> None:
         async def scenario(group: MemberGroup) -> None:
             await group.start_all(9)
             group.instances[VICTIM].membership.publish(config_version=7, epoch=3)
@@ -32,7 +32,7 @@
 
         run_group(scenario)
 
-    def test_leaving_reaches_all(self) -> None:
+    def test_leaving_state_reaches_all_instances(self) -> None:
         async def scenario(group: MemberGroup) -> None:
             await group.start_all(9)
             group.instances[VICTIM].membership.leave()
@@ -40,7 +40,7 @@
 
         run_group(scenario)
 
-    def test_small_changes_of_load_are_not_told_on(self) -> None:
+    def test_small_changes_of_load_are_not_published(self) -> None:
         async def scenario(group: MemberGroup) -> None:
             await group.start_all(3)
             membership = group.instances["127.0.0.2"].membership
@@ -55,7 +55,7 @@
 
         run_group(scenario)
 
-    def test_load_that_jumps_is_told_at_once_but_not_all_the_time(self) -> None:
+    def test_large_change_of_load_is_published_at_once_with_limited_rate(self) -> None:
         async def scenario(group: MemberGroup) -> None:
             await group.start_all(3)
             membership = group.instances["127.0.0.2"].membership
@@ -68,18 +68,18 @@
 
         run_group(scenario, settings=MembershipSettings(urgent_load_step=0.25))
 
-    def test_all_name_the_same_watchers(self) -> None:
+    def test_all_instances_choose_the_same_watchers(self) -> None:
         async def scenario(group: MemberGroup) -> None:
             await group.start_all(9)
-            named = {
+            chosen = {
                 tuple(member.address for member in i.membership.watchers("kolkata-a", 2))
                 for i in group.instances.values()
             }
-            self.assertEqual(named, {("127.0.0.1", "127.0.0.2")})
+            self.assertEqual(chosen, {("127.0.0.1", "127.0.0.2")})
 
         run_group(scenario)
 
-    def test_changes_wake_who_waits_for_them(self) -> None:
+    def test_change_wakes_waiting_task_and_runs_callback(self) -> None:
         async def scenario(group: MemberGroup) -> None:
             await group.start_all(3)
             calls: list[int] = []
@@ -94,11 +94,11 @@
 
 
 class FailingMembershipTest(unittest.TestCase):
-    def test_death_is_noticed_by_all(self) -> None:
-        """A dead instance stays in lookups for good.
+    def test_death_is_noticed_by_all_instances(self) -> None:
+        """Guards against a dead instance that stays in lookup answers permanently.
 
-        Sequence: an instance dies without a word; nobody connects to it for a request. Cause:
-        without probes nobody would notice.
+        An instance dies without announcing its exit, and no request is sent to it: without probes
+        no other instance would notice.
         """
 
         async def scenario(group: MemberGroup) -> None:
@@ -108,7 +108,7 @@
 
         run_group(scenario)
 
-    def test_farewell_needs_no_suspicion(self) -> None:
+    def test_announced_exit_needs_no_suspicion(self) -> None:
         async def scenario(group: MemberGroup) -> None:
             await group.start_all(9)
             group.instances[VICTIM].membership.announce_exit()
@@ -117,12 +117,11 @@
 
         run_group(scenario)
 
-    def test_frozen_instance_comes_back_by_itself(self) -> None:
-        """An instance that was paused is taken for dead for good, or takes all others for dead.
+    def test_frozen_instance_becomes_live_again(self) -> None:
+        """Guards against a paused instance that stays dead to others, or sees all others as dead.
 
-        Sequence: an instance freezes until it is taken for dead, and wakes with its buffers full
-        of old messages. Cause: its old facts do not beat the suspicion; only a higher sequence
-        does.
+        An instance freezes until it is declared dead, and resumes with buffers full of old
+        messages. Its old facts do not override the suspicion; only a higher sequence does.
         """
 
         async def scenario(group: MemberGroup) -> None:
@@ -134,11 +133,11 @@
 
         run_group(scenario)
 
-    def test_half_cut_does_not_kill(self) -> None:
-        """A working instance drops out of lookups because one link of many is cut.
+    def test_one_broken_link_causes_no_suspicion(self) -> None:
+        """Guards against a working instance that leaves lookup answers because one link is broken.
 
-        Sequence: one instance cannot reach another; all the rest reach both. Cause: a probe that
-        only goes straight takes the state of one link for the state of an instance.
+        One instance cannot reach another, while all the rest reach both. Direct probes alone
+        cannot tell a broken link from a dead instance.
         """
 
         async def scenario(group: MemberGroup) -> None:
@@ -152,12 +151,12 @@
 
         run_group(scenario)
 
-    def test_restart_replaces_the_former_process_at_once(self) -> None:
-        """A replacement at the same address is taken for the process that died before it.
+    def test_restarted_instance_replaces_the_former_process(self) -> None:
+        """Guards against a replacement that is mistaken for the dead process at its address.
 
-        Sequence: an instance dies and its replacement starts at the same address, with a wall
-        clock that went back, before anyone noticed. Cause: its facts would look older than its
-        predecessor's, which the others still remember.
+        An instance dies, and before the death is noticed its replacement starts at the same
+        address with a wall clock that was set back. Its facts would look older than those of the
+        former process, which the other instances still know.
         """
 
         async def scenario(group: MemberGroup) -> None:
@@ -183,12 +182,12 @@
 
         run_group(scenario)
 
-    def test_late_message_does_not_bring_the_dead_back(self) -> None:
-        """An instance that left long ago comes back into lookups.
+    def test_delayed_message_does_not_undo_a_leave(self) -> None:
+        """Guards against an instance that returns to lookup answers after it left.
 
-        Sequence: an instance tells of itself while a peer is frozen, then leaves; the peer wakes
-        and reads what it was told before. Cause: a fact that counts by its arrival instead of by
-        its sequence.
+        An instance publishes its state while a peer is frozen, then leaves. The peer resumes and
+        reads the older state, which would win if facts were ordered by arrival and not by their
+        sequence.
         """
 
         async def scenario(group: MemberGroup) -> None:
@@ -207,12 +206,12 @@
 
         run_group(scenario)
 
-    def test_region_cut_and_heal(self) -> None:
-        """After a cut of an hour a region stays lost, or its healing drops everyone for a moment.
+    def test_partitioned_region_rejoins(self) -> None:
+        """Guards against a region that stays lost, or disturbs the others, after a partition heals.
 
-        Sequence: a region is cut off until each side takes the other for dead; an hour later the
-        cut heals. Cause: the dead are no longer probed, so nobody would find out; and each side
-        holds that the other is dead, which must not be told on as if it were true of all.
+        A region is partitioned until each side has declared the other dead; long afterwards the
+        partition heals. Dead members are not probed, so without reconnection neither side would
+        notice. Gossip of deaths would make each side drop its own live members for a moment.
         """
 
         async def scenario(group: MemberGroup) -> None:
--- a/tests/integration/test_membership_processes.py
+++ b/tests/integration/test_membership_processes.py
@@ -1,4 +1,4 @@
-"""Links, membership and configuration between real processes."""
+"""Peer links, membership and configuration distribution between real processes."""
 
 import unittest
 
@@ -18,11 +18,11 @@
         self.group.until(lambda now: all(report["version"] == version for report in now.values()))
 
     def test_killed_process_is_replaced_at_its_address(self) -> None:
-        """A replacement cannot serve, or is taken for the process that died.
+        """Guards against a replacement that cannot serve, or is mistaken for the dead process.
 
-        Sequence: a process is killed and taken for dead; one is started at the same address while
-        the platform is out. Cause: it has nothing but its peers to get the configuration from, and
-        they remember its predecessor.
+        A process is killed and declared dead, and another is started at its address without a
+        platform. Its peers are its only source of the configuration, and still know the former
+        process.
         """
         self.group.command(self.group.addresses[0], "offer 5")
         self.all_have_version(5)
@@ -39,11 +39,11 @@
         self.assertNotIn(former, seen)
         self.all_have_version(5)
 
-    def test_frozen_process_comes_back(self) -> None:
-        """A process that was paused takes all others for dead, or stays dead to them.
+    def test_frozen_process_becomes_live_again(self) -> None:
+        """Guards against a paused process that sees all others as dead, or stays dead to them.
 
-        Sequence: a process is stopped until the others take it for dead, misses a change, and goes
-        on. Cause: its links are full of what was meant for the time before, and its view is old.
+        A process is stopped until the others declare it dead, misses a change, and resumes. Its
+        links are full of old messages, and its view is stale.
         """
         victim = self.group.addresses[1]
         self.group.freeze(victim)
