--- a/src/wagtailpoint/moves/board.py
+++ b/src/wagtailpoint/moves/board.py
@@ -6,33 +6,33 @@
 from typing import Final, NamedTuple
 
 from wagtailpoint.config.model import EffectiveConfig, Move
-from wagtailpoint.moves.decision import share_of_step
+from wagtailpoint.moves.decision import step_share
 from wagtailpoint.moves.evidence import Evidence, EvidenceWindow
-from wagtailpoint.moves.pacing import PacedAllowance, whole_share
-from wagtailpoint.moves.progress import NOT_BEGUN, MoveProgress, MoveState, plan_of
+from wagtailpoint.moves.pacing import PacedAllowance, floor_share
+from wagtailpoint.moves.progress import NOT_BEGUN, MoveProgress, MoveState, plan_fingerprint
 from wagtailpoint.observe.timeline import Timeline
 from wagtailpoint.ports.backend import BackendAddress, BackendFailure, BackendResponse
 from wagtailpoint.ports.clock import Clock
 
-REPORT_AGE_S: Final = 4.0
+REPORT_TTL_S: Final = 4.0
 """A peer's report older than this says nothing any more, in seconds."""
 
 
-class _Moved:
+class _ActiveMove:
     """One move of the configuration in force."""
 
     def __init__(self, *, move: Move, config: EffectiveConfig, clock: Clock) -> None:
         groups = config.services[move.service].groups
         old = {server.address for server in groups[move.from_group]}
         self.move = move
-        self.plan = plan_of(move)
+        self.plan = plan_fingerprint(move)
         self.old_servers = frozenset(old)
         # A backend server of both groups gets no more work by the move than it had.
-        self.new_servers = frozenset({one.address for one in groups[move.to_group]} - old)
+        self.new_servers = frozenset({server.address for server in groups[move.to_group]} - old)
         self.allowance = PacedAllowance(clock=clock)
         self.window = EvidenceWindow(clock=clock)
         self.reports: dict[str, tuple[float, Evidence]] = {}
-        self.seen_at = clock.monotonic()
+        self.held_since = clock.monotonic()
 
 
 class MoveStatus(NamedTuple):
@@ -80,14 +80,14 @@
         self._clock = clock
         self._timeline = timeline
         self._cap_fraction = cap_fraction
-        self._moves: dict[str, _Moved] = {}
-        self._of_subject: dict[tuple[str, str], _Moved] = {}
+        self._moves: dict[str, _ActiveMove] = {}
+        self._active_by_service: dict[tuple[str, str], _ActiveMove] = {}
         self._progresses: dict[str, MoveProgress] = {}
 
     @property
     def moves(self) -> Mapping[str, Move]:
         """The moves of the configuration in force."""
-        return {name: moved.move for name, moved in self._moves.items()}
+        return {name: active.move for name, active in self._moves.items()}
 
     @property
     def progresses(self) -> Mapping[str, MoveProgress]:
@@ -96,20 +96,20 @@
 
     def apply(self, config: EffectiveConfig) -> None:
         """Follow another configuration."""
-        before = self._moves
+        previous = self._moves
         self._moves = {}
         for name, move in config.moves.items():
-            moved = _Moved(move=move, config=config, clock=self._clock)
-            known = before.get(name)
-            if known is not None:
+            active = _ActiveMove(move=move, config=config, clock=self._clock)
+            former = previous.get(name)
+            if former is not None:
                 # What was sent a moment ago still counts against the cap, whatever changed.
-                moved.allowance = known.allowance
-            if known is not None and known.plan == moved.plan:
-                moved.window, moved.reports = known.window, known.reports
-                moved.seen_at = known.seen_at
-            self._moves[name] = moved
-        self._of_subject = {
-            (each.move.workspace, each.move.service): each for each in self._moves.values()
+                active.allowance = former.allowance
+            if former is not None and former.plan == active.plan:
+                active.window, active.reports = former.window, former.reports
+                active.held_since = former.held_since
+            self._moves[name] = active
+        self._active_by_service = {
+            (active.move.workspace, active.move.service): active for active in self._moves.values()
         }
         # A progress of a deleted move would be taken for that of the next one of its name.
         self._progresses = {
@@ -118,20 +118,20 @@
 
     def apply_progress(self, progress: MoveProgress) -> bool:
         """Take in a progress from the platform or a peer; False if it is not news."""
-        moved = self._moves.get(progress.move)
+        active = self._moves.get(progress.move)
         known = self._progresses.get(progress.move)
-        if moved is None or (known is not None and progress.version <= known.version):
+        if active is None or (known is not None and progress.version <= known.version):
             return False
         self._progresses[progress.move] = progress
-        moved.seen_at = self._clock.monotonic()
+        active.held_since = self._clock.monotonic()
         if known is None or known.step != progress.step:
-            moved.window.clear()
-            moved.reports.clear()
+            active.window.clear()
+            active.reports.clear()
         self._timeline.record(
             "move-step",
             name=progress.move,
             step=progress.step,
-            share=share_of_step(moved.move, progress.step),
+            share=step_share(active.move, progress.step),
             state=progress.state.value,
             reason=progress.reason,
             version=progress.version,
@@ -139,24 +139,28 @@
         )
         return True
 
-    def forget(self, name: str) -> None:
+    def remove_progress(self, name: str) -> None:
         """The platform has no progress of a move any more."""
         self._progresses.pop(name, None)
 
     def held_s(self, name: str) -> float:
         """Seconds since the newest progress of a move was first seen, or the writing was taken."""
-        return self._clock.monotonic() - self._moves[name].seen_at
+        return self._clock.monotonic() - self._moves[name].held_since
 
     def restart_holds(self) -> None:
         """Count the time of each step anew: a new writer has watched none of it."""
-        for moved in self._moves.values():
-            moved.seen_at = self._clock.monotonic()
+        for active in self._moves.values():
+            active.held_since = self._clock.monotonic()
 
     def evidence(self, name: str) -> Evidence:
         """What all instances saw of a move that reported of late, this one included."""
-        moved, now = self._moves[name], self._clock.monotonic()
-        fresh = [seen for at, seen in moved.reports.values() if now - at <= REPORT_AGE_S]
-        return reduce(Evidence.plus, fresh, moved.window.sum())
+        active, now = self._moves[name], self._clock.monotonic()
+        recent = [
+            evidence
+            for reported_at, evidence in active.reports.values()
+            if now - reported_at <= REPORT_TTL_S
+        ]
+        return reduce(Evidence.plus, recent, active.window.sum())
 
     def own_evidence(self, name: str) -> Evidence:
         """What this instance saw of a move of late."""
@@ -164,26 +168,26 @@
 
     def apply_report(self, *, sender: str, move: str, version: int, evidence: Evidence) -> None:
         """Take in a peer's report; one made under another progress is dropped."""
-        moved, known = self._moves.get(move), self._progresses.get(move)
-        if moved is not None and known is not None and known.version == version:
-            moved.reports[sender] = (self._clock.monotonic(), evidence)
+        active, known = self._moves.get(move), self._progresses.get(move)
+        if active is not None and known is not None and known.version == version:
+            active.reports[sender] = (self._clock.monotonic(), evidence)
 
     def route(self, *, workspace: str, service: str, affinity: str) -> "MoveRoute | None":
         """Where a request goes because of a move; None if none concerns it."""
-        moved = self._of_subject.get((workspace, service))
-        if moved is None:
+        active = self._active_by_service.get((workspace, service))
+        if active is None:
             return None
-        return MoveRoute(board=self, moved=moved, affinity=affinity)
+        return MoveRoute(board=self, active=active, affinity=affinity)
 
     def record_exchange(
-        self, server: BackendAddress, answered: BackendResponse | BackendFailure, latency_s: float
+        self, server: BackendAddress, outcome: BackendResponse | BackendFailure, latency_s: float
     ) -> None:
         """Take note of how an exchange ended, whichever workspace it was for."""
-        for moved in self._moves.values():
-            if server in moved.new_servers:
-                moved.window.add(_seen_at_new(answered, latency_s))
-            elif server in moved.old_servers and isinstance(answered, BackendResponse):
-                moved.window.add(Evidence(old_answered=1, old_latency_s=latency_s))
+        for active in self._moves.values():
+            if server in active.new_servers:
+                active.window.add(_classify_exchange(outcome, latency_s))
+            elif server in active.old_servers and isinstance(outcome, BackendResponse):
+                active.window.add(Evidence(old_answered=1, old_latency_s=latency_s))
 
     def share(self, name: str) -> float:
         """The part of a move's traffic (0 to 1) that goes to the receiving side.
@@ -191,21 +195,21 @@
         Sound with an old progress too: abort is in the configuration, which arrives by its own
         way, and the cap is spent by shares, whatever the step.
         """
-        moved, known = self._moves[name], self._progresses.get(name)
-        if moved.move.state == "abort" or known is None or known.plan != moved.plan:
+        active, known = self._moves[name], self._progresses.get(name)
+        if active.move.state == "abort" or known is None or known.plan != active.plan:
             return 0.0
-        return 0.0 if known.state is MoveState.ABORTED else share_of_step(moved.move, known.step)
+        return 0.0 if known.state is MoveState.ABORTED else step_share(active.move, known.step)
 
     def allowance(self, name: str) -> int:
         """The requests in any second that this instance may send to the receiving side now."""
-        return whole_share(self._moves[name].move.cap_rps, self._cap_fraction())
+        return floor_share(self._moves[name].move.cap_rps, self._cap_fraction())
 
     def status(self) -> list[MoveStatus]:
         """All moves, for the status page."""
-        return [self._status(name, moved) for name, moved in self._moves.items()]
+        return [self._status(name, active) for name, active in self._moves.items()]
 
-    def _status(self, name: str, moved: _Moved) -> MoveStatus:
-        move, known = moved.move, self._progresses.get(name)
+    def _status(self, name: str, active: _ActiveMove) -> MoveStatus:
+        move, known = active.move, self._progresses.get(name)
         return MoveStatus(
             name=name,
             workspace=move.workspace,
@@ -223,49 +227,49 @@
             version=known.version if known is not None else 0,
             share=self.share(name),
             allowance_rps=self.allowance(name),
-            evidence=moved.window.sum(),
+            evidence=active.window.sum(),
         )
 
 
 class MoveRoute:
     """Where one request goes because of a move; asked anew whenever a slot is looked for."""
 
-    def __init__(self, *, board: MoveBoard, moved: _Moved, affinity: str) -> None:
+    def __init__(self, *, board: MoveBoard, active: _ActiveMove, affinity: str) -> None:
         self._board = board
-        self._moved = moved
-        self._position = position_of(moved.move.name, affinity)
+        self._active = active
+        self._position = caller_position(active.move.name, affinity)
         self._over_cap = False
 
     @property
     def from_group(self) -> str:
         """The group that takes it otherwise."""
-        return self._moved.move.from_group
+        return self._active.move.from_group
 
     @property
-    def wanted_group(self) -> str | None:
+    def assigned_group(self) -> str | None:
         """The group that its share sends it to; None if it stays with the old one."""
-        if self._position >= self._board.share(self._moved.move.name):
+        if self._position >= self._board.share(self._active.move.name):
             return None
-        return self._moved.move.to_group
+        return self._active.move.to_group
 
     def to_group(self) -> str | None:
         """The group that takes it now if it can; None if the request stays with the old one."""
-        wanted = self.wanted_group
-        most = self._board.allowance(self._moved.move.name)
-        self._over_cap = wanted is not None and not self._moved.allowance.room(most)
-        return None if self._over_cap else wanted
+        group = self.assigned_group
+        max_rps = self._board.allowance(self._active.move.name)
+        self._over_cap = group is not None and not self._active.allowance.has_room(max_rps)
+        return None if self._over_cap else group
 
     def record_slot_taken(self, server: BackendAddress) -> None:
         """A slot was taken, in the same step as ``to_group`` was asked for."""
-        if server in self._moved.new_servers:
-            self._moved.allowance.spend(self._board.allowance(self._moved.move.name))
+        if server in self._active.new_servers:
+            self._active.allowance.spend(self._board.allowance(self._active.move.name))
         elif self._over_cap:
-            self._moved.window.add(Evidence(over_cap=1))
-        elif self.wanted_group is not None:
-            self._moved.window.add(Evidence(spilled=1))
+            self._active.window.add(Evidence(over_cap=1))
+        elif self.assigned_group is not None:
+            self._active.window.add(Evidence(spilled=1))
 
 
-def position_of(move: str, affinity: str) -> float:
+def caller_position(move: str, affinity: str) -> float:
     """A number from 0 to 1 that is always the same for the same caller and thing asked for.
 
     A request goes over once the share exceeds its position, so each step adds callers and takes
@@ -275,7 +279,7 @@
     return int.from_bytes(digest, "big") / 2.0**64
 
 
-def _seen_at_new(answered: BackendResponse | BackendFailure, latency_s: float) -> Evidence:
-    if isinstance(answered, BackendResponse):
+def _classify_exchange(outcome: BackendResponse | BackendFailure, latency_s: float) -> Evidence:
+    if isinstance(outcome, BackendResponse):
         return Evidence(answered=1, latency_s=latency_s)
-    return Evidence(shed=1) if answered.shed else Evidence(failed=1)
+    return Evidence(shed=1) if outcome.shed else Evidence(failed=1)
--- a/src/wagtailpoint/moves/evidence.py
+++ b/src/wagtailpoint/moves/evidence.py
@@ -6,7 +6,7 @@
 
 from wagtailpoint.ports.clock import Clock
 
-KEPT_S: Final = 4.0
+WINDOW_S: Final = 4.0
 """Evidence is a sum over so many seconds; older says nothing of the step in force."""
 
 BUCKET_S: Final = 0.5
@@ -60,21 +60,21 @@
         """Take in one more observation."""
         now = self._clock.monotonic()
         if self._buckets and now - self._buckets[-1][0] < BUCKET_S:
-            began, known = self._buckets.pop()
-            self._buckets.append((began, known.plus(evidence)))
+            began, bucket = self._buckets.pop()
+            self._buckets.append((began, bucket.plus(evidence)))
         else:
             self._buckets.append((now, evidence))
-        self._forget(now)
+        self._expire(now)
 
     def sum(self) -> Evidence:
         """The evidence of the last seconds."""
-        self._forget(self._clock.monotonic())
+        self._expire(self._clock.monotonic())
         return reduce(Evidence.plus, (evidence for _, evidence in self._buckets), Evidence())
 
     def clear(self) -> None:
         """Forget everything; what was seen before a step says nothing of it."""
         self._buckets.clear()
 
-    def _forget(self, now: float) -> None:
-        while self._buckets and now - self._buckets[0][0] > KEPT_S:
+    def _expire(self, now: float) -> None:
+        while self._buckets and now - self._buckets[0][0] > WINDOW_S:
             self._buckets.popleft()
--- a/src/wagtailpoint/moves/gossip.py
+++ b/src/wagtailpoint/moves/gossip.py
@@ -17,13 +17,13 @@
 FANOUT: Final = 3
 """How many peers are told at once of news."""
 
-TELL_S: Final = 1.0
+GOSSIP_INTERVAL_S: Final = 1.0
 """Between two times that one peer at random is told everything, and the writers get reports."""
 
-LOOK_S: Final = 0.25
+POLL_INTERVAL_S: Final = 0.25
 """How soon a watch begins after the first move was planned, in seconds."""
 
-RETRY_S: Final = 1.0
+RETRY_DELAY_S: Final = 1.0
 
 
 class MoveGossip:
@@ -65,9 +65,9 @@
         """Follow and tell until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch)
-            nursery.start_soon(self._tell)
+            nursery.start_soon(self._gossip)
 
-    def tell(self, count: int) -> None:
+    def send_progress(self, count: int) -> None:
         """Tell some peers all that is known."""
         progresses = tuple(self._board.progresses.values())
         others = self._others()
@@ -81,17 +81,17 @@
         while True:
             if not self._board.moves or not self._is_watching():
                 version = None
-                await trio.sleep(LOOK_S)
+                await trio.sleep(POLL_INTERVAL_S)
                 continue
             version = await (self._list() if version is None else self._watch_once(version))
             if version is None:
-                await trio.sleep(RETRY_S * self._random.uniform(0.5, 1.5))
+                await trio.sleep(RETRY_DELAY_S * self._random.uniform(0.5, 1.5))
 
     async def _list(self) -> int | None:
         listing = await self._platform.list(kind=PROGRESS_KIND)
         if isinstance(listing, Err):
             return None
-        self._take_in(listing.ok_value.objects)
+        self._apply_objects(listing.ok_value.objects)
         return listing.ok_value.version
 
     async def _watch_once(self, version: int) -> int | None:
@@ -101,31 +101,31 @@
         if isinstance(batch, Err):
             return None
         puts = [event.stored for event in batch.ok_value.events if event.action == "put"]
-        self._take_in(puts)
+        self._apply_objects(puts)
         return max(version, batch.ok_value.version)
 
-    def _take_in(self, objects: Sequence[StoredObject]) -> None:
-        learnt = False
+    def _apply_objects(self, objects: Sequence[StoredObject]) -> None:
+        changed = False
         for stored in objects:
             progress = read_progress(stored)
             if isinstance(progress, Ok):
-                learnt |= self._board.apply_progress(progress.ok_value)
+                changed |= self._board.apply_progress(progress.ok_value)
             else:
                 log_event(
                     "move-progress-unreadable", level="ERROR", mistake=repr(progress.err_value)
                 )
-        if learnt:
-            self.tell(FANOUT)
+        if changed:
+            self.send_progress(FANOUT)
 
-    async def _tell(self) -> None:
+    async def _gossip(self) -> None:
         while True:
-            await trio.sleep(TELL_S * self._random.uniform(0.8, 1.2))
+            await trio.sleep(GOSSIP_INTERVAL_S * self._random.uniform(0.8, 1.2))
             # Also what is old: a peer that just started during an outage of the platform has no
             # other source, and would send its callers back to where they came from.
-            self.tell(1)
-            self._report()
+            self.send_progress(1)
+            self._send_reports()
 
-    def _report(self) -> None:
+    def _send_reports(self) -> None:
         for name, progress in self._board.progresses.items():
             if progress.writer != self._peers.address:
                 evidence = self._board.own_evidence(name)
@@ -133,9 +133,9 @@
 
     def _on_news(self, received: Received) -> None:
         news: MoveNews = received.message
-        learnt = [self._board.apply_progress(progress) for progress in news.progresses]
-        if any(learnt):
-            self.tell(FANOUT)
+        changed = [self._board.apply_progress(progress) for progress in news.progresses]
+        if any(changed):
+            self.send_progress(FANOUT)
 
     def _on_report(self, received: Received) -> None:
         report: MoveReport = received.message
--- a/src/wagtailpoint/moves/pacing.py
+++ b/src/wagtailpoint/moves/pacing.py
@@ -16,10 +16,10 @@
 """The more an instance may send, the more of it at once: random arrivals come in small bursts, and
 strict spacing would turn half of them away."""
 
-_ROUNDING: Final = 1e-9
+_ROUNDING_TOLERANCE: Final = 1e-9
 
 
-def whole_share(cap_rps: float, fraction: float) -> int:
+def floor_share(cap_rps: float, fraction: float) -> int:
     """The requests in any second that an instance may send with its part of a cap.
 
     Rounded down, so that the sum over all instances never exceeds the cap.
@@ -28,7 +28,7 @@
         cap_rps: The cap of all instances together.
         fraction: The instance's part (0 to 1).
     """
-    return floor(cap_rps * fraction + _ROUNDING)
+    return floor(cap_rps * fraction + _ROUNDING_TOLERANCE)
 
 
 class PacedAllowance:
@@ -44,25 +44,25 @@
         self._starts_at = clock.monotonic() + WINDOW_S
         self._next_due = self._starts_at
 
-    def room(self, most: int) -> bool:
+    def has_room(self, max_rps: int) -> bool:
         """Whether one more may pass now, of ``most`` in a second."""
         now = self._clock.monotonic()
-        if most < 1 or now < self._starts_at:
+        if max_rps < 1 or now < self._starts_at:
             return False
-        burst, spacing_s = _shape(most)
+        burst, spacing_s = _burst_and_spacing(max_rps)
         return now >= self._next_due - (burst - 1) * spacing_s
 
-    def spend(self, most: int) -> None:
+    def spend(self, max_rps: int) -> None:
         """Note that one passes now; in the same step as ``room``, with no await in between."""
-        _, spacing_s = _shape(most)
+        _, spacing_s = _burst_and_spacing(max_rps)
         self._next_due = max(self._clock.monotonic(), self._next_due) + spacing_s
 
 
-def _shape(most: int) -> tuple[int, float]:
+def _burst_and_spacing(max_rps: int) -> tuple[int, float]:
     """The burst, and the seconds between two requests.
 
     A second holds at most ``1 / spacing + burst`` requests, rounded down, which is ``most`` or
     less for every ``most``.
     """
-    burst = 1 + most // BURST_DIVISOR
-    return burst, WINDOW_S / (most - burst + 1)
+    burst = 1 + max_rps // BURST_DIVISOR
+    return burst, WINDOW_S / (max_rps - burst + 1)
--- a/src/wagtailpoint/moves/progress.py
+++ b/src/wagtailpoint/moves/progress.py
@@ -86,7 +86,7 @@
         }
 
 
-def plan_of(move: Move) -> str:
+def plan_fingerprint(move: Move) -> str:
     """The fingerprint of what a move shifts and in which steps."""
     plan = (move.workspace, move.service, move.from_group, move.to_group, move.steps)
     return blake2b(repr(plan).encode(), digest_size=8).hexdigest()
--- a/src/wagtailpoint/moves/writer.py
+++ b/src/wagtailpoint/moves/writer.py
@@ -9,7 +9,7 @@
 
 from wagtailpoint.config.model import Move
 from wagtailpoint.moves.board import MoveBoard
-from wagtailpoint.moves.decision import Known, Receiving, next_progress
+from wagtailpoint.moves.decision import ReceivingSide, WriterView, next_progress
 from wagtailpoint.moves.progress import PROGRESS_KIND, MoveProgress, read_progress
 from wagtailpoint.observe.log import log_event
 from wagtailpoint.ports.clock import Clock
@@ -17,7 +17,7 @@
 from wagtailpoint.ports.platform import Conflict, Platform, StoredObject
 
 MOVES_LEASE: Final = "moves"
-STEPS_PER_LEASE: Final = 4
+RENEWALS_PER_LEASE: Final = 4
 
 
 class WriterLease(Protocol):
@@ -81,11 +81,11 @@
         self._clock = clock
         self._board = board
         self._lease = lease
-        self._renew_s = lease_s / STEPS_PER_LEASE
+        self._renewal_interval_s = lease_s / RENEWALS_PER_LEASE
         self._own = own
         self._is_eligible = is_eligible
         self._count_receiving_servers = count_receiving_servers
-        self._asked_at = float("-inf")
+        self._lease_tried_at = float("-inf")
         self._has_read = False
         self._writes = itertools.count(1)
 
@@ -103,11 +103,11 @@
     async def step(self) -> None:
         """Look after the lease, and advance each move that is due."""
         if not self._board.moves or not self._is_eligible():
-            await self._stand_back()
+            await self._release_lease()
             return
         now = self._clock.monotonic()
-        if not self._lease.held() or now - self._asked_at >= self._renew_s:
-            await self._look_after_lease(now)
+        if not self._lease.held() or now - self._lease_tried_at >= self._renewal_interval_s:
+            await self._renew_lease(now)
         if not self._lease.held():
             self._has_read = False
             return
@@ -117,15 +117,15 @@
         for move in self._board.moves.values():
             await self._advance(move)
 
-    async def _look_after_lease(self, now: float) -> None:
-        if now - self._asked_at < self._renew_s:
+    async def _renew_lease(self, now: float) -> None:
+        if now - self._lease_tried_at < self._renewal_interval_s:
             return
-        self._asked_at = now
-        held_before = self._lease.held()
-        if await self._lease.step() and not held_before:
+        self._lease_tried_at = now
+        was_held = self._lease.held()
+        if await self._lease.step() and not was_held:
             log_event("moves-writer", own=self._own)
 
-    async def _stand_back(self) -> None:
+    async def _release_lease(self) -> None:
         if self._has_read or self._lease.held():
             self._has_read = False
             await self._lease.release()
@@ -136,20 +136,20 @@
         if isinstance(listing, Err):
             return False
         for stored in listing.ok_value.objects:
-            self._learn(stored)
+            self._apply_stored(stored)
         self._board.restart_holds()
         return True
 
     async def _advance(self, move: Move) -> None:
         servers, cold = self._count_receiving_servers(move)
-        known = Known(
-            receiving=Receiving(self._board.evidence(move.name), servers, cold),
+        view = WriterView(
+            receiving=ReceivingSide(self._board.evidence(move.name), servers, cold),
             held_s=self._board.held_s(move.name),
             wall=self._clock.wall(),
             writer=self._own,
         )
         current = self._board.progresses.get(move.name)
-        proposed = next_progress(move, current, known)
+        proposed = next_progress(move, current, view)
         if proposed is not None:
             await self._write(proposed)
 
@@ -163,15 +163,15 @@
         )
         match written:
             case Ok(stored):
-                self._learn(stored)
+                self._apply_stored(stored)
             case Err(Conflict(None)):
-                self._board.forget(proposed.move)
+                self._board.remove_progress(proposed.move)
             case Err(Conflict(StoredObject() as current)):
-                self._learn(current)
+                self._apply_stored(current)
             case Err(error):
                 log_event("move-not-written", level="WARNING", move=proposed.move, reason=error)
 
-    def _learn(self, stored: StoredObject) -> None:
+    def _apply_stored(self, stored: StoredObject) -> None:
         progress = read_progress(stored)
         if isinstance(progress, Ok):
             self._board.apply_progress(progress.ok_value)
@@ -201,7 +201,7 @@
         if isinstance(listing, Err):
             return
         moves = self._board.moves
-        orphans = {(one.name, one.version) for one in listing.ok_value.objects}
+        orphans = {(stored.name, stored.version) for stored in listing.ok_value.objects}
         orphans = {orphan for orphan in orphans if orphan[0] not in moves}
         for name, version in orphans & self._seen:
             await self._platform.delete(kind=PROGRESS_KIND, name=name, if_version=version)
--- a/tests/cover/test_move_news.py
+++ b/tests/cover/test_move_news.py
@@ -13,7 +13,7 @@
 from tests.common.small_config import idle_board, small_config, small_move
 from wagtailpoint.moves.evidence import Evidence
 from wagtailpoint.moves.gossip import MoveGossip
-from wagtailpoint.moves.progress import PROGRESS_KIND, MoveProgress, MoveState, plan_of
+from wagtailpoint.moves.progress import PROGRESS_KIND, MoveProgress, MoveState, plan_fingerprint
 from wagtailpoint.ports.backend import BackendFailure, FailureReason
 from wagtailpoint.ports.peers import PeerAddress
 from wagtailpoint.verdict import Verdict
@@ -24,7 +24,7 @@
 SHED = BackendFailure(Verdict.NOT_RUN, FailureReason.SHED, shed=True)
 
 
-class OneNewsroom:
+class Follower:
     """An instance that follows the progress of one move."""
 
     def __init__(
@@ -33,7 +33,7 @@
         self.board = idle_board(TrioClock())
         self.board.apply(small_config(moves=[small_move()]))
         self.peers = FakePeers(network=network, address=own)
-        self._newsroom = MoveGossip(
+        self._gossip = MoveGossip(
             platform=platform,
             peers=self.peers,
             board=self.board,
@@ -51,7 +51,7 @@
     async def run(self) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.peers.run)
-            nursery.start_soon(self._newsroom.run)
+            nursery.start_soon(self._gossip.run)
 
 
 class MoveNewsTest(unittest.TestCase):
@@ -67,22 +67,26 @@
 
         trio.run(limited, clock=MockClock(autojump_threshold=0.0))
 
-    def start(self, nursery: trio.Nursery, own: PeerAddress, *, watching: bool) -> OneNewsroom:
-        room = OneNewsroom(own=own, platform=self.platform, network=self.network, watching=watching)
-        nursery.start_soon(room.run)
-        return room
+    def start(self, nursery: trio.Nursery, own: PeerAddress, *, watching: bool) -> Follower:
+        follower = Follower(
+            own=own, platform=self.platform, network=self.network, watching=watching
+        )
+        nursery.start_soon(follower.run)
+        return follower
 
     async def write(self, step: int) -> None:
         move, name = small_move(), "shift"
         before = self.platform.store.get(PROGRESS_KIND, name)
-        progress = MoveProgress(name, plan_of(move), step, MoveState.RUNNING, "", 0.0, FIRST, 0)
+        progress = MoveProgress(
+            name, plan_fingerprint(move), step, MoveState.RUNNING, "", 0.0, FIRST, 0
+        )
         value = {**progress.to_value(f"w{step}"), "fence": 1}
         version = before.version if before is not None else 0
         await self.platform.put(kind=PROGRESS_KIND, name=name, value=value, if_version=version)
 
     def test_watch_reaches_one_and_peers_the_others(self) -> None:
         async def check(nursery: trio.Nursery) -> None:
-            rooms = [
+            followers = [
                 self.start(nursery, FIRST, watching=True),
                 self.start(nursery, SECOND, watching=False),
                 self.start(nursery, THIRD, watching=False),
@@ -91,7 +95,7 @@
             for step in (0, 1):
                 await self.write(step)
                 await trio.sleep(0.5)
-                self.assertEqual([room.step for room in rooms], [step] * 3)
+                self.assertEqual([follower.step for follower in followers], [step] * 3)
             self.assertEqual(self.platform.counts["LIST", PROGRESS_KIND], 1)
 
         self.run_async(check)
--- a/tests/cover/test_move_writer.py
+++ b/tests/cover/test_move_writer.py
@@ -19,7 +19,7 @@
 SHED = Evidence(answered=10, shed=10)
 
 
-class OneInstance:
+class WriterInstance:
     """An instance with its board and writer, on a platform shared with others."""
 
     def __init__(self, *, number: int, platform: FakePlatform, clock: FakeClock) -> None:
@@ -51,8 +51,8 @@
     def setUp(self) -> None:
         self.clock = FakeClock()
         self.platform = FakePlatform()
-        self.first = OneInstance(number=1, platform=self.platform, clock=self.clock)
-        self.second = OneInstance(number=2, platform=self.platform, clock=self.clock)
+        self.first = WriterInstance(number=1, platform=self.platform, clock=self.clock)
+        self.second = WriterInstance(number=2, platform=self.platform, clock=self.clock)
 
     def run_async(self, work: Callable[[], Awaitable[None]]) -> None:
         async def limited() -> None:
@@ -61,7 +61,7 @@
 
         trio.run(limited)
 
-    async def pass_time(self, seconds: float, *instances: OneInstance) -> None:
+    async def pass_time(self, seconds: float, *instances: WriterInstance) -> None:
         for _ in range(int(seconds / 0.5)):
             self.clock.now += 0.5
             for instance in instances:
@@ -128,7 +128,7 @@
 
         self.run_async(check)
 
-    def shed_at(self, instance: OneInstance) -> None:
+    def shed_at(self, instance: WriterInstance) -> None:
         known = instance.board.progresses["shift"]
         instance.board.apply_report(
             sender="127.9.0.3", move="shift", version=known.version, evidence=SHED
--- a/tests/cover/test_moves.py
+++ b/tests/cover/test_moves.py
@@ -13,11 +13,11 @@
 from wagtailpoint.config.model import EffectiveConfig, Move
 from wagtailpoint.daemon.servers import ConfiguredServers
 from wagtailpoint.health import HealthBoard
-from wagtailpoint.moves.board import position_of
-from wagtailpoint.moves.decision import Known, Receiving, coldness, next_progress
+from wagtailpoint.moves.board import caller_position
+from wagtailpoint.moves.decision import ReceivingSide, WriterView, find_hold_reason, next_progress
 from wagtailpoint.moves.evidence import Evidence
-from wagtailpoint.moves.pacing import PacedAllowance, whole_share
-from wagtailpoint.moves.progress import NOT_BEGUN, MoveProgress, MoveState, plan_of
+from wagtailpoint.moves.pacing import PacedAllowance, floor_share
+from wagtailpoint.moves.progress import NOT_BEGUN, MoveProgress, MoveState, plan_fingerprint
 from wagtailpoint.observe.metrics import Metrics
 from wagtailpoint.ports.backend import BackendResponse
 from wagtailpoint.ports.peers import PeerAddress
@@ -29,10 +29,10 @@
 def progress_of(
     move: Move, *, step: int = 0, state: MoveState = MoveState.RUNNING, version: int = 1
 ) -> MoveProgress:
-    return MoveProgress(move.name, plan_of(move), step, state, "", 0.0, WRITER, version)
+    return MoveProgress(move.name, plan_fingerprint(move), step, state, "", 0.0, WRITER, version)
 
 
-def most_in_a_second(times: list[float]) -> int:
+def max_per_second(times: list[float]) -> int:
     return max(sum(start <= time < start + 1 for time in times) for start in times)
 
 
@@ -44,18 +44,20 @@
         second's worth passes all of it at once, and refills as fast in the second that follows.
         """
         random = Random(1)
-        for most in (1, 2, 3, 4, 5, 6, 9, 10, 13, 40, 101):
+        for max_rps in (1, 2, 3, 4, 5, 6, 9, 10, 13, 40, 101):
             clock = FakeClock()
             allowance = PacedAllowance(clock=clock)
             passed = []
             for _ in range(800):
-                clock.now += random.choice((0.0, 0.0, random.expovariate(3 * most), 2.0 / most))
-                if allowance.room(most):
-                    allowance.spend(most)
+                clock.now += random.choice(
+                    (0.0, 0.0, random.expovariate(3 * max_rps), 2.0 / max_rps)
+                )
+                if allowance.has_room(max_rps):
+                    allowance.spend(max_rps)
                     passed.append(clock.now)
-            with self.subTest(most=most):
-                self.assertLessEqual(most_in_a_second(passed), most)
-                self.assertGreater(len(passed), 0.4 * most * (passed[-1] - passed[0]))
+            with self.subTest(max_rps=max_rps):
+                self.assertLessEqual(max_per_second(passed), max_rps)
+                self.assertGreater(len(passed), 0.4 * max_rps * (passed[-1] - passed[0]))
 
     def test_restarted_process_waits_until_its_predecessors_spending_is_over(self) -> None:
         """Symptom: 11 arrivals within a second, where three instances could send 3 each.
@@ -69,17 +71,17 @@
             allowance = PacedAllowance(clock=clock)
             for _ in range(ticks):
                 clock.now += 0.01
-                if allowance.room(10):
+                if allowance.has_room(10):
                     allowance.spend(10)
                     passed.append(clock.now)
         self.assertGreater(len(passed), 10)
-        self.assertLessEqual(most_in_a_second(passed), 10)
+        self.assertLessEqual(max_per_second(passed), 10)
 
     def test_parts_never_add_up_to_more_than_the_cap(self) -> None:
         for cap in (1.0, 7.5, 40.0, 100.0):
             for seats in (1, 3, 7, 12):
-                self.assertLessEqual(seats * whole_share(cap, 1 / seats), cap)
-        self.assertEqual(whole_share(90.0, 0.1 + 0.2), 27)
+                self.assertLessEqual(seats * floor_share(cap, 1 / seats), cap)
+        self.assertEqual(floor_share(90.0, 0.1 + 0.2), 27)
 
 
 class MoveBoardTest(unittest.TestCase):
@@ -95,13 +97,13 @@
 
     def moved(self, callers: int = 400) -> set[int]:
         """Which of the callers are sent to the receiving side, one after the other."""
-        found = set()
+        moved = set()
         for caller in range(callers):
             self.clock.now += 1.0
             route = self.board.route(workspace="books", service="desk", affinity=str(caller))
             if route is not None and route.to_group() is not None:
-                found.add(caller)
-        return found
+                moved.add(caller)
+        return moved
 
     def test_each_step_keeps_the_callers_of_the_one_before(self) -> None:
         move = self.config.moves["shift"]
@@ -153,7 +155,7 @@
         """
         self.board.apply_progress(progress_of(self.config.moves["shift"], step=1))
         servers = self.servers()
-        positions = {str(number): position_of("shift", str(number)) for number in range(50)}
+        positions = {str(number): caller_position("shift", str(number)) for number in range(50)}
         stays, moves = max(positions, key=positions.__getitem__), min(
             positions, key=positions.__getitem__
         )
@@ -197,7 +199,7 @@
                 # Full, it would go to the old group and not be refused.
                 self.assertEqual(groups["old"], set(choice.candidates()) - groups["new"])
         self.assertGreater(len(times), 4)
-        self.assertLessEqual(most_in_a_second(times), 5)
+        self.assertLessEqual(max_per_second(times), 5)
         self.assertGreater(self.board.own_evidence("shift").over_cap, 100)
 
     def test_evidence_of_a_step_before_is_dropped(self) -> None:
@@ -234,12 +236,12 @@
         cold: int = 0,
         **changes: Any,
     ) -> MoveProgress | None:
-        known = Known(Receiving(evidence, 6, cold), held_s, 500.0, WRITER)
-        return next_progress(self.move._replace(**changes), current, known)
+        view = WriterView(ReceivingSide(evidence, 6, cold), held_s, 500.0, WRITER)
+        return next_progress(self.move._replace(**changes), current, view)
 
-    def expect(self, found: MoveProgress | None, step: int, state: MoveState) -> None:
-        assert found is not None
-        self.assertEqual((found.step, found.state), (step, state))
+    def expect(self, progress: MoveProgress | None, step: int, state: MoveState) -> None:
+        assert progress is not None
+        self.assertEqual((progress.step, progress.state), (step, state))
 
     def test_steps_one_by_one_while_warm(self) -> None:
         self.expect(self.decide(None), 0, MoveState.RUNNING)
@@ -249,12 +251,12 @@
         self.assertIsNone(self.decide(progress_of(self.move, step=2, state=MoveState.DONE)))
 
     def test_holds_while_cold_and_waits_a_whole_step_after(self) -> None:
-        found = self.decide(progress_of(self.move), cold=2)
-        self.expect(found, 0, MoveState.HOLDING)
-        assert found is not None
-        self.assertEqual(found.reason, "2 of 6 backend servers report cold caches")
-        self.assertIsNone(self.decide(found, cold=2))
-        self.expect(self.decide(found), 0, MoveState.RUNNING)
+        progress = self.decide(progress_of(self.move), cold=2)
+        self.expect(progress, 0, MoveState.HOLDING)
+        assert progress is not None
+        self.assertEqual(progress.reason, "2 of 6 backend servers report cold caches")
+        self.assertIsNone(self.decide(progress, cold=2))
+        self.expect(self.decide(progress), 0, MoveState.RUNNING)
 
     def test_what_is_not_warm(self) -> None:
         given = {
@@ -267,10 +269,10 @@
             ),
         }
         for reason, evidence in given.items():
-            self.assertEqual(coldness(Receiving(evidence, 6, 0), 0.1), reason)
-        self.assertIsNone(coldness(Receiving(WARM._replace(shed=1), 6, 1), 0.1))
-        self.assertIsNone(coldness(Receiving(Evidence(), 6, 0), 0.1))
-        self.assertIsNotNone(coldness(Receiving(WARM, 0, 0), 0.1))
+            self.assertEqual(find_hold_reason(ReceivingSide(evidence, 6, 0), 0.1), reason)
+        self.assertIsNone(find_hold_reason(ReceivingSide(WARM._replace(shed=1), 6, 1), 0.1))
+        self.assertIsNone(find_hold_reason(ReceivingSide(Evidence(), 6, 0), 0.1))
+        self.assertIsNotNone(find_hold_reason(ReceivingSide(WARM, 0, 0), 0.1))
 
     def test_pause_keeps_the_step_and_resume_watches_it_anew(self) -> None:
         paused = self.decide(progress_of(self.move, step=1), state="pause")
@@ -286,7 +288,7 @@
 
     def test_new_plan_begins_anew_over_the_old_progress(self) -> None:
         old = progress_of(small_move(steps=(1.0,)), version=9)
-        found = self.decide(old)
-        self.expect(found, 0, MoveState.RUNNING)
-        assert found is not None
-        self.assertEqual(found.version, 9)
+        progress = self.decide(old)
+        self.expect(progress, 0, MoveState.RUNNING)
+        assert progress is not None
+        self.assertEqual(progress.version, 9)
--- a/tests/integration/test_moves_and_drains.py
+++ b/tests/integration/test_moves_and_drains.py
@@ -68,7 +68,9 @@
     async def arrivals(self, service: str, servers: Sequence[BackendAddress]) -> list[float]:
         """When requests arrived at the backend servers, by their process's monotonic clock."""
         records = await trio.to_thread.run_sync(self.running.backends[service].records)
-        return sorted(one["time"] for server in servers for one in records[server]["arrivals"])
+        return sorted(
+            arrival["time"] for server in servers for arrival in records[server]["arrivals"]
+        )
 
     async def check_cap(self, service: str) -> None:
         times = await self.arrivals(service, self.group(service, "acquired"))
@@ -80,8 +82,8 @@
     def split(self, writer: str) -> tuple[EntryProcess, list[EntryProcess]]:
         """The entry that writes, and the others."""
         address = writer.partition(":")[0]
-        first = [one for one in self.running.entries if one.settings.address == address]
-        return first[0], [one for one in self.running.entries if one is not first[0]]
+        first = [entry for entry in self.running.entries if entry.settings.address == address]
+        return first[0], [entry for entry in self.running.entries if entry is not first[0]]
 
     def test_move_survives_death_freeze_and_outage_and_keeps_its_cap(self) -> None:
         """Symptom: a move stood still, jumped back or sent more than its cap.
@@ -168,12 +170,13 @@
             busy = next(
                 server
                 for server in servers
-                if any("bulk" in one["path"] for one in records[server]["arrivals"])
+                if any("bulk" in arrival["path"] for arrival in records[server]["arrivals"])
             )
             await self.cli("drain", "start", "d", "--backend-server", str(busy), "--wait")
             await self.check_quiet([busy])
             pages = [
-                await trio.to_thread.run_sync(one.page, "status") for one in self.running.entries
+                await trio.to_thread.run_sync(entry.page, "status")
+                for entry in self.running.entries
             ]
             self.assertEqual(sum(page["drains"][0]["in_flight"] for page in pages), 1)
             received = sum([len(chunk) async for chunk in download.chunks()])
@@ -191,7 +194,9 @@
         # One that gets work now, or its silence would prove nothing.
         leaving = max(
             self.group("records-vault", "main"),
-            key=lambda one: max((seen["time"] for seen in records[one]["arrivals"]), default=0.0),
+            key=lambda server: max(
+                (arrival["time"] for arrival in records[server]["arrivals"]), default=0.0
+            ),
         )
         await trio.to_thread.run_sync(
             lambda: backends.control(leaving, "POST", "mode", {"draining": True})
@@ -205,7 +210,7 @@
         await trio.sleep(DRAINED_WITHIN_S + 1.5)
         times = await self.arrivals("records-vault", servers)
         self.assertGreater(len(times), 0)
-        self.assertEqual([at for at in times if at > ordered_at + DRAINED_WITHIN_S], [])
+        self.assertEqual([time_s for time_s in times if time_s > ordered_at + DRAINED_WITHIN_S], [])
 
     def test_callers_of_a_lost_region_are_served_by_the_others(self) -> None:
         """Symptom: callers of a region stood without service after the region was lost.
--- a/tests/nocover/test_move_schedules.py
+++ b/tests/nocover/test_move_schedules.py
@@ -26,7 +26,7 @@
 logger.disable("wagtailpoint.moves")
 
 
-class Wrote(NamedTuple):
+class Write(NamedTuple):
     """A progress that landed."""
 
     at: float
@@ -34,7 +34,7 @@
     version: int
 
 
-class OneWriter:
+class FreezableWriter:
     """A writer that can be frozen in the middle of a write."""
 
     def __init__(self, *, number: int, shared: FakePlatform, clock: FakeClock) -> None:
@@ -94,10 +94,10 @@
         self._clock = FakeClock()
         self._shared = FakePlatform()
         self._writers = [
-            OneWriter(number=number, shared=self._shared, clock=self._clock)
+            FreezableWriter(number=number, shared=self._shared, clock=self._clock)
             for number in range(1, WRITERS + 1)
         ]
-        self.wrote: list[Wrote] = []
+        self.writes: list[Write] = []
 
     async def run(self) -> None:
         """Take random actions, then let everything go on."""
@@ -134,13 +134,13 @@
         for writer in self._random.sample(self._writers, WRITERS):
             nursery.start_soon(writer.step)
             await trio.testing.wait_all_tasks_blocked()
-            self._look()
+            self._record_write()
 
-    def _look(self) -> None:
+    def _record_write(self) -> None:
         stored = self._shared.store.get(PROGRESS_KIND, MOVE.name)
-        if stored is None or (self.wrote and self.wrote[-1].version == stored.version):
+        if stored is None or (self.writes and self.writes[-1].version == stored.version):
             return
-        self.wrote.append(Wrote(self._clock.now, stored.value["step"], stored.version))
+        self.writes.append(Write(self._clock.now, stored.value["step"], stored.version))
 
 
 class MoveSchedulesTest(unittest.TestCase):
@@ -155,12 +155,12 @@
             schedule = Schedule(seed=seed)
             trio.run(schedule.run)
             with self.subTest(seed=seed):
-                steps = [wrote.step for wrote in schedule.wrote]
+                steps = [write.step for write in schedule.writes]
                 self.assertEqual(steps[-1], len(MOVE.steps) - 1)
-                raises = [
+                step_changes = [
                     (later.at - earlier.at, later.step - earlier.step)
-                    for earlier, later in zip(schedule.wrote, schedule.wrote[1:], strict=False)
+                    for earlier, later in zip(schedule.writes, schedule.writes[1:], strict=False)
                     if later.step != earlier.step
                 ]
-                self.assertEqual({by for _, by in raises}, {1})
-                self.assertGreaterEqual(min(after for after, _ in raises), HOLD_S)
+                self.assertEqual({by for _, by in step_changes}, {1})
+                self.assertGreaterEqual(min(after for after, _ in step_changes), HOLD_S)
