--- a/src/wagtailpoint/moves/board.py
+++ b/src/wagtailpoint/moves/board.py
@@ -1,4 +1,4 @@
-"""What one instance knows of the moves, and where it sends each request because of them."""
+"""The progress of moves as one instance knows it, and the routing of requests by it."""
 
 from collections.abc import Callable, Mapping, Sequence
 from functools import reduce
@@ -15,11 +15,11 @@
 from wagtailpoint.ports.clock import Clock
 
 REPORT_TTL_S: Final = 4.0
-"""A peer's report older than this says nothing any more, in seconds."""
+"""Reports of peers that are older than this are ignored, in seconds."""
 
 
 class _ActiveMove:
-    """One move of the configuration in force."""
+    """A move of the enforced configuration, with this instance's allowance and evidence."""
 
     def __init__(self, *, move: Move, config: EffectiveConfig, clock: Clock) -> None:
         groups = config.services[move.service].groups
@@ -27,7 +27,7 @@
         self.move = move
         self.plan = plan_fingerprint(move)
         self.old_servers = frozenset(old)
-        # A backend server of both groups gets no more work by the move than it had.
+        # A backend server in both groups gets no additional work from the move.
         self.new_servers = frozenset({server.address for server in groups[move.to_group]} - old)
         self.allowance = PacedAllowance(clock=clock)
         self.window = EvidenceWindow(clock=clock)
@@ -36,12 +36,15 @@
 
 
 class MoveStatus(NamedTuple):
-    """A move on the status page.
+    """The status of a move, for the status page.
 
     Attributes:
-        share: The part of the traffic that goes to the receiving side by this instance's decision.
-        allowance_rps: The requests in any second that this instance may send there.
-        evidence: What this instance saw of late.
+        cap_rps: The cap of all instances together, in requests per second.
+        wanted: The state that the configuration asks for.
+        since: When the step began, in seconds since the epoch; None if the move has not begun.
+        share: The fraction of the traffic that this instance sends to the receiving side.
+        allowance_rps: The requests that this instance may send there in any second.
+        evidence: The recent evidence of this instance.
     """
 
     name: str
@@ -64,18 +67,18 @@
 
 
 class MoveBoard:
-    """The progress of all moves, as far as this instance knows it, and what it makes of it."""
+    """Tracks the progress of all moves, and routes requests by it."""
 
     def __init__(
         self, *, clock: Clock, timeline: Timeline, cap_fraction: Callable[[], float]
     ) -> None:
-        """Make it without any move.
+        """Initialise the board without any move.
 
         Args:
-            clock: Of this instance.
-            timeline: Records each change of a progress.
-            cap_fraction: The part of every cap (0 to 1) that this instance may spend now; the
-                parts of all instances never add up to more than 1.
+            clock: The clock of this instance.
+            timeline: Records each change of a move's progress.
+            cap_fraction: Returns the fraction of every cap (0 to 1) that this instance may use
+                at present; the fractions of all instances never add up to more than 1.
         """
         self._clock = clock
         self._timeline = timeline
@@ -86,23 +89,23 @@
 
     @property
     def moves(self) -> Mapping[str, Move]:
-        """The moves of the configuration in force."""
+        """The moves of the enforced configuration, by name."""
         return {name: active.move for name, active in self._moves.items()}
 
     @property
     def progresses(self) -> Mapping[str, MoveProgress]:
-        """The newest progress known of each move."""
+        """The newest known progress of each move, by name."""
         return self._progresses
 
     def apply(self, config: EffectiveConfig) -> None:
-        """Follow another configuration."""
+        """Replace the configuration, keeping what still applies of each move's state."""
         previous = self._moves
         self._moves = {}
         for name, move in config.moves.items():
             active = _ActiveMove(move=move, config=config, clock=self._clock)
             former = previous.get(name)
             if former is not None:
-                # What was sent a moment ago still counts against the cap, whatever changed.
+                # Requests sent just before the change still count against the cap.
                 active.allowance = former.allowance
             if former is not None and former.plan == active.plan:
                 active.window, active.reports = former.window, former.reports
@@ -111,13 +114,13 @@
         self._active_by_service = {
             (active.move.workspace, active.move.service): active for active in self._moves.values()
         }
-        # A progress of a deleted move would be taken for that of the next one of its name.
+        # The progress of a deleted move would otherwise be applied to a later move of that name.
         self._progresses = {
             name: known for name, known in self._progresses.items() if name in self._moves
         }
 
     def apply_progress(self, progress: MoveProgress) -> bool:
-        """Take in a progress from the platform or a peer; False if it is not news."""
+        """Apply a progress from the platform or a peer; return whether it was newer."""
         active = self._moves.get(progress.move)
         known = self._progresses.get(progress.move)
         if active is None or (known is not None and progress.version <= known.version):
@@ -140,20 +143,20 @@
         return True
 
     def remove_progress(self, name: str) -> None:
-        """The platform has no progress of a move any more."""
+        """Remove the progress of a move that the platform does not have."""
         self._progresses.pop(name, None)
 
     def held_s(self, name: str) -> float:
-        """Seconds since the newest progress of a move was first seen, or the writing was taken."""
+        """Return the seconds since a move's newest progress arrived or its hold restarted."""
         return self._clock.monotonic() - self._moves[name].held_since
 
     def restart_holds(self) -> None:
-        """Count the time of each step anew: a new writer has watched none of it."""
+        """Restart the hold time of each step: a new writer has not observed the step so far."""
         for active in self._moves.values():
             active.held_since = self._clock.monotonic()
 
     def evidence(self, name: str) -> Evidence:
-        """What all instances saw of a move that reported of late, this one included."""
+        """Return the summed recent evidence on a move, of this instance and its peers."""
         active, now = self._moves[name], self._clock.monotonic()
         recent = [
             evidence
@@ -163,17 +166,17 @@
         return reduce(Evidence.plus, recent, active.window.sum())
 
     def own_evidence(self, name: str) -> Evidence:
-        """What this instance saw of a move of late."""
+        """Return the recent evidence of this instance on a move."""
         return self._moves[name].window.sum()
 
     def apply_report(self, *, sender: str, move: str, version: int, evidence: Evidence) -> None:
-        """Take in a peer's report; one made under another progress is dropped."""
+        """Store a peer's report, unless it was made under another version of the progress."""
         active, known = self._moves.get(move), self._progresses.get(move)
         if active is not None and known is not None and known.version == version:
             active.reports[sender] = (self._clock.monotonic(), evidence)
 
     def route(self, *, workspace: str, service: str, affinity: str) -> "MoveRoute | None":
-        """Where a request goes because of a move; None if none concerns it."""
+        """Return the route of a request that a move concerns; None if no move concerns it."""
         active = self._active_by_service.get((workspace, service))
         if active is None:
             return None
@@ -182,7 +185,7 @@
     def record_exchange(
         self, server: BackendAddress, outcome: BackendResponse | BackendFailure, latency_s: float
     ) -> None:
-        """Take note of how an exchange ended, whichever workspace it was for."""
+        """Record the outcome of an exchange as evidence, regardless of its workspace."""
         for active in self._moves.values():
             if server in active.new_servers:
                 active.window.add(_classify_exchange(outcome, latency_s))
@@ -190,10 +193,10 @@
                 active.window.add(Evidence(old_answered=1, old_latency_s=latency_s))
 
     def share(self, name: str) -> float:
-        """The part of a move's traffic (0 to 1) that goes to the receiving side.
+        """Return the fraction of a move's traffic (0 to 1) that goes to the receiving side.
 
-        Sound with an old progress too: abort is in the configuration, which arrives by its own
-        way, and the cap is spent by shares, whatever the step.
+        A stale progress is safe: an abort is part of the configuration, which arrives separately,
+        and each instance keeps to its fraction of the cap at every step.
         """
         active, known = self._moves[name], self._progresses.get(name)
         if active.move.state == "abort" or known is None or known.plan != active.plan:
@@ -201,11 +204,11 @@
         return 0.0 if known.state is MoveState.ABORTED else step_share(active.move, known.step)
 
     def allowance(self, name: str) -> int:
-        """The requests in any second that this instance may send to the receiving side now."""
+        """Return the requests that this instance may send to the receiving side in any second."""
         return floor_share(self._moves[name].move.cap_rps, self._cap_fraction())
 
     def status(self) -> list[MoveStatus]:
-        """All moves, for the status page."""
+        """Return the status of all moves, for the status page."""
         return [self._status(name, active) for name, active in self._moves.items()]
 
     def _status(self, name: str, active: _ActiveMove) -> MoveStatus:
@@ -232,7 +235,7 @@
 
 
 class MoveRoute:
-    """Where one request goes because of a move; asked anew whenever a slot is looked for."""
+    """Chooses the group for one request by a move, again at each attempt to find a slot."""
 
     def __init__(self, *, board: MoveBoard, active: _ActiveMove, affinity: str) -> None:
         self._board = board
@@ -242,25 +245,31 @@
 
     @property
     def from_group(self) -> str:
-        """The group that takes it otherwise."""
+        """The group that serves the request if it is not moved."""
         return self._active.move.from_group
 
     @property
     def assigned_group(self) -> str | None:
-        """The group that its share sends it to; None if it stays with the old one."""
+        """The group that the share assigns; None if the request stays with the old one."""
         if self._position >= self._board.share(self._active.move.name):
             return None
         return self._active.move.to_group
 
     def to_group(self) -> str | None:
-        """The group that takes it now if it can; None if the request stays with the old one."""
+        """Return the group to try first; None if the request stays with the old one.
+
+        A request over the allowance of this instance stays with the old group.
+        """
         group = self.assigned_group
         max_rps = self._board.allowance(self._active.move.name)
         self._over_cap = group is not None and not self._active.allowance.has_room(max_rps)
         return None if self._over_cap else group
 
     def record_slot_taken(self, server: BackendAddress) -> None:
-        """A slot was taken, in the same step as ``to_group`` was asked for."""
+        """Record the slot taken for the request.
+
+        Must follow ``to_group`` with no await in between, or the cap could be exceeded.
+        """
         if server in self._active.new_servers:
             self._active.allowance.spend(self._board.allowance(self._active.move.name))
         elif self._over_cap:
@@ -270,10 +279,10 @@
 
 
 def caller_position(move: str, affinity: str) -> float:
-    """A number from 0 to 1 that is always the same for the same caller and thing asked for.
+    """Return a number from 0 to 1 that is constant for a move and an affinity key.
 
-    A request goes over once the share exceeds its position, so each step adds callers and takes
-    none back, and what a moved caller asked for before is asked for where it is cached.
+    A request is moved once the share exceeds its position. So each step adds callers and removes
+    none, and a moved caller's repeated requests reach the side where the results are cached.
     """
     digest = blake2b(f"{move} {affinity}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") / 2.0**64
--- a/src/wagtailpoint/moves/decision.py
+++ b/src/wagtailpoint/moves/decision.py
@@ -1,4 +1,4 @@
-"""What the writer of a move does next; a function of what it knows."""
+"""The next step of a move, as a pure function of what its writer knows."""
 
 from typing import Final, NamedTuple
 
@@ -8,35 +8,35 @@
 from wagtailpoint.ports.peers import PeerAddress
 
 MAX_COLD_FRACTION: Final = 0.25
-"""With more than this part of its backend servers reporting cold caches the side is cold. Reports
-mislead, so a single one does not stop a move."""
+"""The receiving side is cold if a greater fraction of its backend servers reports cold caches. A
+single report can be misleading, so it does not stop a move."""
 
 MAX_FAILURE_FRACTION: Final = 0.02
-"""The part of shed and failed requests that is bearable."""
+"""The tolerated fraction of shed and failed requests."""
 
 MIN_FAILURES: Final = 2
-"""A single shed or failed request says nothing."""
+"""A single shed or failed request is not significant."""
 
 MAX_SLOWDOWN: Final = 2.0
-"""The receiving side may be so many times slower than the old one."""
+"""The tolerated ratio of the mean latencies of the receiving and the old side."""
 
 MIN_SLOW_LATENCY_S: Final = 0.005
-"""Nothing faster than this is called slow, in seconds."""
+"""Mean latencies up to this are never slow, in seconds."""
 
 MIN_ANSWERS: Final = 10
-"""Answers before their mean latency says something."""
+"""The number of answers from which their mean latency is significant."""
 
 MIN_EXPECTED_REQUESTS: Final = 5.0
-"""So many requests were to reach the receiving side, and none did: then something is wrong."""
+"""If this many requests should have reached the receiving side and none did, the move holds."""
 
 
 class ReceivingSide(NamedTuple):
-    """The receiving side of a move, as its writer sees it.
+    """The state of the receiving side of a move, as the writer sees it.
 
     Attributes:
-        evidence: Of all instances that reported of late.
-        servers: Its backend servers that are not drained.
-        cold: How many of them report cold caches.
+        evidence: The recent evidence of all instances.
+        servers: The number of its backend servers that are not drained.
+        cold: The number of those that report cold caches.
     """
 
     evidence: Evidence
@@ -45,13 +45,13 @@
 
 
 class WriterView(NamedTuple):
-    """What the writer knows besides the move and its progress.
+    """The input of a decision besides the move and its progress.
 
     Attributes:
-        receiving: The receiving side.
-        held_s: Seconds since the progress was first seen as it is, by the writer's own clock.
-        wall: Seconds since the epoch.
-        writer: The writer.
+        receiving: The state of the receiving side.
+        held_s: Seconds since the writer first saw the current progress, by its monotonic clock.
+        wall: The current time in seconds since the epoch.
+        writer: The address of the writer.
     """
 
     receiving: ReceivingSide
@@ -61,11 +61,11 @@
 
 
 def find_hold_reason(receiving: ReceivingSide, share: float) -> str | None:
-    """Why the receiving side is not seen warm; None if it is.
+    """Return the reason why a move must hold at its step; None if the receiving side is warm.
 
     Args:
-        receiving: The receiving side.
-        share: The part of the traffic (0 to 1) that it is given.
+        receiving: The state of the receiving side.
+        share: The fraction of the traffic (0 to 1) that it gets.
     """
     evidence = receiving.evidence
     if not receiving.servers:
@@ -98,9 +98,9 @@
 def next_progress(
     move: Move, current: MoveProgress | None, view: WriterView
 ) -> MoveProgress | None:
-    """The progress to write; None if it stays as it is.
+    """Return the progress to write; None if the current one stays.
 
-    The version of the result is that of the progress it replaces.
+    The result has the version of the progress that it replaces.
     """
     if current is None or current.plan != plan_fingerprint(move):
         version = current.version if current is not None else 0
@@ -108,7 +108,7 @@
     if move.state == "abort":
         if current.state is MoveState.ABORTED:
             return None
-        # Resumed after this it begins anew: the caches may be cold again.
+        # A resumed move starts again at the first step, because the caches may be cold again.
         return _update_progress(
             current, view, step=NOT_BEGUN, state=MoveState.ABORTED, reason="by the operator"
         )
@@ -126,7 +126,7 @@
     hold_reason = find_hold_reason(view.receiving, step_share(move, current.step))
     if hold_reason is not None:
         if current.state is not MoveState.RUNNING:
-            # Written once, not with each new figure; a done move isn't taken back by the program.
+            # A hold is written once, not at each new reason; a finished move is not held again.
             return None
         return _update_progress(current, view, state=MoveState.HOLDING, reason=hold_reason)
     if current.state is MoveState.HOLDING:
@@ -141,7 +141,7 @@
 
 
 def step_share(move: Move, step: int) -> float:
-    """The part of the traffic (0 to 1) that a step sends to the receiving side."""
+    """Return the fraction of the traffic (0 to 1) that a step sends to the receiving side."""
     return move.steps[step] if 0 <= step < len(move.steps) else 0.0
 
 
--- a/src/wagtailpoint/moves/evidence.py
+++ b/src/wagtailpoint/moves/evidence.py
@@ -1,4 +1,4 @@
-"""How both sides of a move answer, as seen by the instances' own requests."""
+"""Evidence on how both sides of a move answer, from the requests that instances forward."""
 
 from collections import deque
 from functools import reduce
@@ -7,23 +7,23 @@
 from wagtailpoint.ports.clock import Clock
 
 WINDOW_S: Final = 4.0
-"""Evidence is a sum over so many seconds; older says nothing of the step in force."""
+"""Evidence is summed over this time; older evidence does not reflect the current step."""
 
 BUCKET_S: Final = 0.5
 
 
 class Evidence(NamedTuple):
-    """What was seen of a move over the last seconds, a sum over some or all instances.
+    """Counts and latencies of a move over the last seconds, summed over one or more instances.
 
     Attributes:
-        answered: Answers of the receiving side.
-        latency_s: The sum of their latencies until the headers, in seconds.
-        shed: Requests that the receiving side shed.
-        failed: Exchanges with the receiving side that failed otherwise.
-        old_answered: Answers of the old side.
-        old_latency_s: The sum of their latencies.
-        over_cap: Requests that stayed with the old side because the cap was spent.
-        spilled: Requests that went to the old side because the receiving side was full.
+        answered: Number of answers of the receiving side.
+        latency_s: The sum of their latencies until the response headers, in seconds.
+        shed: Number of requests that the receiving side shed.
+        failed: Number of exchanges with the receiving side that failed otherwise.
+        old_answered: Number of answers of the old side.
+        old_latency_s: The sum of their latencies until the response headers, in seconds.
+        over_cap: Number of requests that stayed with the old side because of the cap.
+        spilled: Number of requests that went to the old side because the receiving side was full.
     """
 
     answered: int = 0
@@ -36,7 +36,7 @@
     spilled: int = 0
 
     def plus(self, other: "Evidence") -> "Evidence":
-        """The sum."""
+        """Return the sum of this evidence and another."""
         return Evidence(
             answered=self.answered + other.answered,
             latency_s=self.latency_s + other.latency_s,
@@ -50,14 +50,14 @@
 
 
 class EvidenceWindow:
-    """The evidence of one move on this instance, over the last ``KEPT_S`` seconds."""
+    """The evidence on one move at this instance, over the last ``WINDOW_S`` seconds."""
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
         self._buckets: deque[tuple[float, Evidence]] = deque()
 
     def add(self, evidence: Evidence) -> None:
-        """Take in one more observation."""
+        """Add an observation."""
         now = self._clock.monotonic()
         if self._buckets and now - self._buckets[-1][0] < BUCKET_S:
             began, bucket = self._buckets.pop()
@@ -67,12 +67,12 @@
         self._expire(now)
 
     def sum(self) -> Evidence:
-        """The evidence of the last seconds."""
+        """Return the evidence in the window."""
         self._expire(self._clock.monotonic())
         return reduce(Evidence.plus, (evidence for _, evidence in self._buckets), Evidence())
 
     def clear(self) -> None:
-        """Forget everything; what was seen before a step says nothing of it."""
+        """Discard all evidence, as it does not apply to the next step."""
         self._buckets.clear()
 
     def _expire(self, now: float) -> None:
--- a/src/wagtailpoint/moves/gossip.py
+++ b/src/wagtailpoint/moves/gossip.py
@@ -1,4 +1,4 @@
-"""How the progress of moves reaches every instance: by watch to some, by peers to all."""
+"""Distribution of the progress of moves: some instances watch the platform, and gossip it on."""
 
 from collections.abc import Callable, Sequence
 from random import Random
@@ -15,19 +15,20 @@
 from wagtailpoint.ports.platform import Platform, StoredObject
 
 FANOUT: Final = 3
-"""How many peers are told at once of news."""
+"""The number of peers to which a changed progress is sent."""
 
 GOSSIP_INTERVAL_S: Final = 1.0
-"""Between two times that one peer at random is told everything, and the writers get reports."""
+"""Between two messages of all progress to a random peer, and between two reports to writers, in
+seconds."""
 
 POLL_INTERVAL_S: Final = 0.25
-"""How soon a watch begins after the first move was planned, in seconds."""
+"""Between two checks whether there are moves to watch, in seconds."""
 
 RETRY_DELAY_S: Final = 1.0
 
 
 class MoveGossip:
-    """Follows the progress of moves and passes it on."""
+    """Watches the progress of moves, gossips it, and sends reports to the writers."""
 
     def __init__(
         self,
@@ -40,16 +41,17 @@
         wait_s: float,
         random: Random,
     ) -> None:
-        """Make it.
+        """Initialise the gossip of one instance.
 
         Args:
-            platform: Is watched.
-            peers: Carry news and reports.
-            board: Takes the news.
-            others: The other instances that are not known to be dead.
-            is_watching: Whether this instance watches; a few of each failure domain do.
-            wait_s: The longest wait of one watch, in seconds.
-            random: Chooses whom to tell.
+            platform: The platform to watch.
+            peers: The links to the other instances.
+            board: Applies the progress and the reports.
+            others: Returns the addresses of the other instances that are not known to be dead.
+            is_watching: Returns whether this instance watches the platform; a few instances of
+                each failure domain do.
+            wait_s: The maximum duration of one watch call, in seconds.
+            random: Chooses the peers to send to, and varies intervals.
         """
         self._platform = platform
         self._peers = peers
@@ -62,13 +64,13 @@
         peers.handle(MoveReport, self._on_report)
 
     async def run(self) -> None:
-        """Follow and tell until cancelled."""
+        """Watch and gossip until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch)
             nursery.start_soon(self._gossip)
 
     def send_progress(self, count: int) -> None:
-        """Tell some peers all that is known."""
+        """Send all known progress to ``count`` random peers."""
         progresses = tuple(self._board.progresses.values())
         others = self._others()
         if not progresses:
@@ -120,8 +122,8 @@
     async def _gossip(self) -> None:
         while True:
             await trio.sleep(GOSSIP_INTERVAL_S * self._random.uniform(0.8, 1.2))
-            # Also what is old: a peer that just started during an outage of the platform has no
-            # other source, and would send its callers back to where they came from.
+            # Unchanged progress is sent too: an instance that starts during an outage of the
+            # platform has no other source, and would send its callers back to the old side.
             self.send_progress(1)
             self._send_reports()
 
--- a/src/wagtailpoint/moves/messages.py
+++ b/src/wagtailpoint/moves/messages.py
@@ -1,4 +1,4 @@
-"""The messages of moves between instances."""
+"""The messages about moves between instances."""
 
 from typing import NamedTuple
 
@@ -8,18 +8,18 @@
 
 
 class MoveNews(NamedTuple):
-    """The progress of moves, as the sender knows it."""
+    """The progress of all moves as the sender knows it."""
 
     progresses: tuple[MoveProgress, ...]
 
 
 class MoveReport(NamedTuple):
-    """What an instance saw of a move of late; goes to the move's writer.
+    """An instance's recent evidence on a move, sent to the move's writer.
 
     Attributes:
-        move: The move's name.
-        version: The progress under which it was seen.
-        evidence: What was seen.
+        move: The name of the move.
+        version: The version of the progress under which the evidence was collected.
+        evidence: The evidence.
     """
 
     move: str
--- a/src/wagtailpoint/moves/progress.py
+++ b/src/wagtailpoint/moves/progress.py
@@ -1,4 +1,4 @@
-"""How far a move is: an object of the platform that only the holder of the moves' lease writes."""
+"""The progress of a move, stored in the platform and written by the holder of the moves' lease."""
 
 from enum import Enum
 from hashlib import blake2b
@@ -13,26 +13,26 @@
 
 PROGRESS_KIND: Final = "move-progress"
 NOT_BEGUN: Final = -1
-"""The step before the first: all traffic stays where it was."""
+"""The step before the first: all traffic stays with the old side."""
 
 
 class MoveState(Enum):
-    """What a move does now."""
+    """The current state of a move."""
 
     RUNNING = "running"
     HOLDING = "holding"
-    """The receiving side is not seen warm."""
+    """The step is not advanced because the receiving side is not warm."""
     PAUSED = "paused"
     ABORTED = "aborted"
     DONE = "done"
 
 
 class ProgressValue(TypedDict):
-    """What is stored of a move's progress.
+    """The stored value of a move's progress.
 
     Attributes:
-        write: Unlike that of any other write, so that its writer knows it again.
-        fence: Of the writer's lease.
+        write: A unique identifier of the write, by which the writer recognises it.
+        fence: The fencing token of the writer's lease.
     """
 
     plan: str
@@ -48,18 +48,18 @@
 
 
 class MoveProgress(NamedTuple):
-    """How far a move is.
+    """The progress of a move.
 
     Attributes:
-        move: The move's name.
-        plan: The fingerprint of the plan that it belongs to; a move that was deleted and planned
-            anew under the same name must not inherit the progress.
-        step: Index of the step in force, ``NOT_BEGUN`` before the first.
-        state: What it does.
-        reason: Why, for people.
-        since: When the step began, in seconds since the epoch by the writer's clock; for people.
-        writer: Who wrote it; takes the others' reports.
-        version: The version of the object: of two progresses the greater is the newer one.
+        move: The name of the move.
+        plan: The fingerprint of the plan that the progress belongs to. A move that is deleted and
+            planned again under the same name must not inherit the progress.
+        step: The index of the current step; ``NOT_BEGUN`` before the first.
+        state: The state of the move.
+        reason: The reason for the state, for operators.
+        since: When the step began, in seconds since the epoch by the writer's clock; for operators.
+        writer: The address of the instance that wrote it, to which other instances send reports.
+        version: The version of the stored object; the progress with the greater one is newer.
     """
 
     move: str
@@ -72,7 +72,7 @@
     version: int
 
     def to_value(self, write: str) -> dict[str, Any]:
-        """What is stored, but for the fence, which the lease adds."""
+        """Return the value to store, without the fence, which the lease adds."""
         return {
             "plan": self.plan,
             "step": self.step,
@@ -87,13 +87,13 @@
 
 
 def plan_fingerprint(move: Move) -> str:
-    """The fingerprint of what a move shifts and in which steps."""
+    """Return the fingerprint of what a move shifts, and in which steps."""
     plan = (move.workspace, move.service, move.from_group, move.to_group, move.steps)
     return blake2b(repr(plan).encode(), digest_size=8).hexdigest()
 
 
 def read_progress(stored: StoredObject) -> Result[MoveProgress, str]:
-    """Read a stored progress, or say what is wrong with it."""
+    """Parse a stored progress; the error names the object and what is wrong with it."""
     try:
         value = msgspec.convert(stored.value, ProgressValue)
         state = MoveState(value["state"])
--- a/src/wagtailpoint/moves/writer.py
+++ b/src/wagtailpoint/moves/writer.py
@@ -1,4 +1,4 @@
-"""The one writer of all moves' progress: the holder of their lease."""
+"""The single writer of the progress of all moves, elected by a lease."""
 
 import itertools
 from collections.abc import Callable
@@ -21,33 +21,33 @@
 
 
 class WriterLease(Protocol):
-    """What the writer needs of ``limits.lease.Lease``."""
+    """The part of ``limits.lease.Lease`` that the writer uses."""
 
     def held(self) -> bool:
-        """Whether this process is surely the only holder now."""
+        """Return whether this process is certainly the only holder at present."""
         ...
 
     async def step(self) -> bool:
-        """Take or renew it if possible."""
+        """Acquire or renew the lease if possible; return whether it is held."""
         ...
 
     async def release(self) -> None:
-        """Let others have it."""
+        """Give up the lease, so that another instance can acquire it."""
         ...
 
     async def put(
         self, *, kind: str, name: str, value: dict[str, Any], if_version: int
     ) -> Result[StoredObject, Any]:
-        """Write an object conditionally, if the lease is held."""
+        """Write an object if its version is ``if_version`` and the lease is held."""
         ...
 
 
 class MoveWriter:
-    """Takes the lease if it can, and then advances every move.
+    """Acquires the lease if possible, and then advances every move.
 
-    A writer that wakes from a freeze finds its lease over by a clock that counted on, and a write
-    that was already under way meets a newer version. A platform that does not answer stops the
-    writing, and so freezes every move at its step: traffic goes on as it is.
+    After a freeze, the writer finds its lease expired, because its clock goes on during the freeze;
+    a write that was already sent fails because the stored version is newer. While the platform
+    does not answer, nothing is written, so every move stays at its step and traffic continues.
     """
 
     def __init__(
@@ -62,15 +62,15 @@
         is_eligible: Callable[[], bool],
         count_receiving_servers: Callable[[Move], tuple[int, int]],
     ) -> None:
-        """Make it without the lease.
+        """Initialise the writer; it does not hold the lease yet.
 
         Args:
-            platform: Where the progress is.
-            clock: Of this instance.
-            board: What this instance knows of the moves.
+            platform: Stores the progress.
+            clock: The clock of this instance.
+            board: The moves and their progress as this instance knows them.
             lease: Makes this process the only writer.
-            lease_s: Its length in seconds.
-            own: Where this instance hears its peers' reports.
+            lease_s: The duration of the lease in seconds.
+            own: The address of this instance, to which its peers send reports.
             is_eligible: Whether this instance may try to become the writer. Only a few instances
                 of each failure domain do, so that the load on the platform does not grow with the
                 number of instances.
@@ -91,7 +91,7 @@
 
     @property
     def is_writing(self) -> bool:
-        """Whether this instance is the writer."""
+        """Whether this instance is the writer and has read the stored progress."""
         return self._has_read and self._lease.held()
 
     async def run(self, *, interval_s: float) -> None:
@@ -101,7 +101,7 @@
             await trio.sleep(interval_s)
 
     async def step(self) -> None:
-        """Look after the lease, and advance each move that is due."""
+        """Acquire, renew or release the lease, and advance each move that is due."""
         if not self._board.moves or not self._is_eligible():
             await self._release_lease()
             return
@@ -131,7 +131,7 @@
             await self._lease.release()
 
     async def _read_all(self) -> bool:
-        """Learn what the writer before left; the watch may not have brought all of it."""
+        """Read what the former writer stored, as the watch may not have delivered all of it."""
         listing = await self._platform.list(kind=PROGRESS_KIND)
         if isinstance(listing, Err):
             return False
@@ -180,7 +180,7 @@
 
 
 class ProgressCleaner:
-    """Deletes the progress of moves that are no longer planned."""
+    """Deletes the stored progress of moves that are not in the configuration."""
 
     def __init__(
         self, *, platform: Platform, board: MoveBoard, is_writing: Callable[[], bool]
@@ -191,9 +191,10 @@
         self._seen: set[tuple[str, int]] = set()
 
     async def step(self) -> None:
-        """Delete what was without a move at the step before too.
+        """Delete progress that has had no move at this step and at the previous one.
 
-        Twice, because the configuration of this instance may be a little older than the progress.
+        One step is not enough, because the configuration of this instance may be slightly older
+        than the progress.
         """
         if not self._is_writing():
             return
--- a/tests/cover/test_move_news.py
+++ b/tests/cover/test_move_news.py
@@ -1,4 +1,4 @@
-"""How the progress of moves reaches every instance."""
+"""Distribution of the progress of moves to all instances."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -54,7 +54,7 @@
             nursery.start_soon(self._gossip.run)
 
 
-class MoveNewsTest(unittest.TestCase):
+class MoveGossipTest(unittest.TestCase):
     def setUp(self) -> None:
         self.platform = FakePlatform()
         self.network = FakeNetwork()
@@ -84,7 +84,7 @@
         version = before.version if before is not None else 0
         await self.platform.put(kind=PROGRESS_KIND, name=name, value=value, if_version=version)
 
-    def test_watch_reaches_one_and_peers_the_others(self) -> None:
+    def test_progress_reaches_one_instance_by_watch_and_others_by_gossip(self) -> None:
         async def check(nursery: trio.Nursery) -> None:
             followers = [
                 self.start(nursery, FIRST, watching=True),
@@ -100,11 +100,11 @@
 
         self.run_async(check)
 
-    def test_instance_that_starts_during_an_outage_hears_of_the_step(self) -> None:
-        """Symptom: callers of a replaced instance went back to the old group for an hour.
+    def test_instance_that_starts_during_an_outage_learns_the_step(self) -> None:
+        """Guards against a replacement that sends its callers back to the old group for an hour.
 
-        Sequence: the platform was out, an instance was replaced, and its successor knew the move
-        from the configuration and no step of it. Cause: peers told only what was new.
+        During an outage of the platform an instance is replaced. The new one knows the move from
+        the configuration, but would not learn its step if peers sent only changes.
         """
 
         async def check(nursery: trio.Nursery) -> None:
@@ -119,7 +119,7 @@
 
         self.run_async(check)
 
-    def test_writer_gets_what_the_others_saw(self) -> None:
+    def test_writer_gets_evidence_of_other_instances(self) -> None:
         async def check(nursery: trio.Nursery) -> None:
             writer = self.start(nursery, FIRST, watching=True)
             other = self.start(nursery, SECOND, watching=False)
--- a/tests/cover/test_move_writer.py
+++ b/tests/cover/test_move_writer.py
@@ -1,4 +1,4 @@
-"""The writer of moves: its death, freeze, lost answers and a platform that is out."""
+"""The writer of moves during deaths, freezes, lost answers and outages of the platform."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -20,7 +20,7 @@
 
 
 class WriterInstance:
-    """An instance with its board and writer, on a platform shared with others."""
+    """An instance with its board and writer, on a platform shared with other instances."""
 
     def __init__(self, *, number: int, platform: FakePlatform, clock: FakeClock) -> None:
         own = PeerAddress(f"127.9.0.{number}", 7000, number)
@@ -69,12 +69,12 @@
 
     @property
     def stored(self) -> tuple[int, str, str]:
-        """Step, state and writer in the platform."""
+        """The step, state and writer of the stored progress."""
         found = self.platform.store.get(PROGRESS_KIND, "shift")
         assert found is not None
         return found.value["step"], found.value["state"], found.value["writer"]
 
-    def test_one_of_two_writes_and_steps_by_the_plan(self) -> None:
+    def test_one_of_two_instances_writes_and_follows_the_plan(self) -> None:
         async def check() -> None:
             await self.pass_time(5, self.first, self.second)
             self.assertEqual(self.stored, (0, "running", "127.9.0.1"))
@@ -86,10 +86,10 @@
 
         self.run_async(check)
 
-    def test_another_goes_on_after_the_writer_died(self) -> None:
-        """Symptom: a move stood still for good. Sequence: its writer died at the second step.
+    def test_another_instance_continues_after_the_writer_died(self) -> None:
+        """Guards against a move that stops permanently when its writer dies at the second step.
 
-        Cause: nobody else wrote. Now another takes the lease, and watches the step anew.
+        Another instance must acquire the lease, and hold the step for its whole time again.
         """
 
         async def check() -> None:
@@ -102,12 +102,12 @@
 
         self.run_async(check)
 
-    def test_write_of_a_writer_that_was_frozen_does_not_land(self) -> None:
-        """Symptom: a move that held because of shed requests jumped to the next step.
+    def test_write_of_a_frozen_writer_is_rejected(self) -> None:
+        """Guards against a move that holds because of shed requests and yet advances.
 
-        Sequence: the writer froze after it had decided on the step and before the write left; a
-        second took the lease, saw requests shed and held; the first woke, and its write arrived.
-        Cause: a lease says who may write, not which write arrives; only the version does.
+        The writer freezes between deciding on the next step and sending the write. A second
+        instance acquires the lease, sees shed requests and holds. The first resumes and its write
+        arrives: the lease alone cannot reject it, only the version of the stored progress can.
         """
 
         async def check() -> None:
@@ -134,7 +134,7 @@
             sender="127.9.0.3", move="shift", version=known.version, evidence=SHED
         )
 
-    def test_platform_outage_freezes_the_step(self) -> None:
+    def test_platform_outage_keeps_the_step(self) -> None:
         async def check() -> None:
             await self.pass_time(5, self.first, self.second)
             self.platform.set_down(True)
@@ -149,7 +149,7 @@
 
         self.run_async(check)
 
-    def test_lost_answer_is_settled_and_nothing_is_written_twice(self) -> None:
+    def test_lost_answer_is_recovered_without_a_second_write(self) -> None:
         async def check() -> None:
             self.platform.writes_of = PROGRESS_KIND
             self.platform.lose_answers = 1
--- a/tests/cover/test_moves.py
+++ b/tests/cover/test_moves.py
@@ -1,4 +1,4 @@
-"""Moves: pacing, where requests go, and what the writer decides."""
+"""Moves: pacing, routing of requests, and decisions of the writer."""
 
 import unittest
 from random import Random
@@ -37,11 +37,11 @@
 
 
 class PacingTest(unittest.TestCase):
-    def test_no_second_holds_more_than_the_allowance(self) -> None:
-        """Symptom: twice the cap arrived within one second of a cold receiving side.
+    def test_no_second_exceeds_the_allowance(self) -> None:
+        """Guards against twice the cap arriving at a cold receiving side within one second.
 
-        Sequence: callers paused, then came all at once. Cause: a token bucket that holds a
-        second's worth passes all of it at once, and refills as fast in the second that follows.
+        Callers pause and then send all at once: a token bucket that holds the tokens of a second
+        passes all of them at once, and refills at the same rate in the second that follows.
         """
         random = Random(1)
         for max_rps in (1, 2, 3, 4, 5, 6, 9, 10, 13, 40, 101):
@@ -59,11 +59,12 @@
                 self.assertLessEqual(max_per_second(passed), max_rps)
                 self.assertGreater(len(passed), 0.4 * max_rps * (passed[-1] - passed[0]))
 
-    def test_restarted_process_waits_until_its_predecessors_spending_is_over(self) -> None:
-        """Symptom: 11 arrivals within a second, where three instances could send 3 each.
+    def test_restarted_process_waits_until_former_requests_leave_the_window(self) -> None:
+        """Guards against exceeding the cap by a restart: 11 arrivals within a second instead of 9.
 
-        Sequence: an instance died and another process came up at its address within the second.
-        Cause: its allowance began full, with the part of the one that had just spent it.
+        Of three instances with 3 requests per second each, one dies and another process starts at
+        its address within the second. Its allowance would start full, although the former process
+        has just used it.
         """
         clock = FakeClock()
         passed = []
@@ -77,7 +78,7 @@
         self.assertGreater(len(passed), 10)
         self.assertLessEqual(max_per_second(passed), 10)
 
-    def test_parts_never_add_up_to_more_than_the_cap(self) -> None:
+    def test_allowances_never_add_up_to_more_than_the_cap(self) -> None:
         for cap in (1.0, 7.5, 40.0, 100.0):
             for seats in (1, 3, 7, 12):
                 self.assertLessEqual(seats * floor_share(cap, 1 / seats), cap)
@@ -96,7 +97,7 @@
         self.clock.now += 2.0
 
     def moved(self, callers: int = 400) -> set[int]:
-        """Which of the callers are sent to the receiving side, one after the other."""
+        """Return the callers that are sent to the receiving side, each a second after the last."""
         moved = set()
         for caller in range(callers):
             self.clock.now += 1.0
@@ -123,17 +124,17 @@
         self.use(small_config(version=2, moves=[small_move(cap_rps=1000.0, state="abort")]))
         self.assertEqual(self.moved(), set())
 
-    def test_older_progress_is_no_news(self) -> None:
+    def test_older_progress_is_ignored(self) -> None:
         move = self.config.moves["shift"]
         self.assertTrue(self.board.apply_progress(progress_of(move, step=1, version=5)))
         self.assertFalse(self.board.apply_progress(progress_of(move, step=2, version=4)))
         self.assertEqual(self.board.share("shift"), 0.5)
 
-    def test_progress_of_an_earlier_plan_of_that_name_counts_for_nothing(self) -> None:
-        """Symptom: a new move began with all of the traffic.
+    def test_progress_of_an_earlier_plan_of_that_name_is_ignored(self) -> None:
+        """Guards against a new move that begins with all of the traffic.
 
-        Sequence: a move was finished and deleted, and another was planned under its name. Cause:
-        the progress of the first, still in the platform, was taken for that of the second.
+        A move is finished and deleted, and another is planned under its name. The progress of the
+        first, which is still in the platform, would be applied to the second.
         """
         self.board.apply_progress(progress_of(small_move(steps=(0.2, 1.0)), step=1))
         self.assertEqual(self.moved(), set())
@@ -148,10 +149,10 @@
         )
 
     def test_moved_requests_do_not_wait_behind_those_that_stay(self) -> None:
-        """Symptom: requests that were moved timed out, with the receiving side idle.
+        """Guards against time-outs of moved requests while the receiving side is idle.
 
-        Sequence: the old group was full and a line had formed; a moved request joined it. Cause:
-        one line for the whole service, in which nobody is served before the first.
+        The old group is full and requests are queued for it. With a single first-in, first-out
+        queue for the whole service, a moved request would wait behind them.
         """
         self.board.apply_progress(progress_of(self.config.moves["shift"], step=1))
         servers = self.servers()
@@ -183,7 +184,7 @@
 
         trio.run(check)
 
-    def test_what_is_over_the_cap_stays_with_the_old_group(self) -> None:
+    def test_requests_over_the_cap_stay_with_the_old_group(self) -> None:
         self.use(small_config(moves=[small_move(cap_rps=5.0)]))
         self.board.apply_progress(progress_of(self.config.moves["shift"], step=2))
         servers = self.servers()
@@ -196,13 +197,13 @@
             choice.record_taken(server)
             if server in groups["new"]:
                 times.append(self.clock.now)
-                # Full, it would go to the old group and not be refused.
+                # If the new group is full, the request goes to the old one and is not refused.
                 self.assertEqual(groups["old"], set(choice.candidates()) - groups["new"])
         self.assertGreater(len(times), 4)
         self.assertLessEqual(max_per_second(times), 5)
         self.assertGreater(self.board.own_evidence("shift").over_cap, 100)
 
-    def test_evidence_of_a_step_before_is_dropped(self) -> None:
+    def test_evidence_of_the_previous_step_is_dropped(self) -> None:
         move, new = self.config.moves["shift"], self.config.services["desk"].groups["new"][0]
         self.board.apply_progress(progress_of(move, step=0, version=1))
 
@@ -243,14 +244,14 @@
         assert progress is not None
         self.assertEqual((progress.step, progress.state), (step, state))
 
-    def test_steps_one_by_one_while_warm(self) -> None:
+    def test_steps_advance_one_by_one_while_warm(self) -> None:
         self.expect(self.decide(None), 0, MoveState.RUNNING)
         self.assertIsNone(self.decide(progress_of(self.move), held_s=9.0))
         self.expect(self.decide(progress_of(self.move)), 1, MoveState.RUNNING)
         self.expect(self.decide(progress_of(self.move, step=2)), 2, MoveState.DONE)
         self.assertIsNone(self.decide(progress_of(self.move, step=2, state=MoveState.DONE)))
 
-    def test_holds_while_cold_and_waits_a_whole_step_after(self) -> None:
+    def test_move_holds_while_cold_and_stays_at_its_step_after(self) -> None:
         progress = self.decide(progress_of(self.move), cold=2)
         self.expect(progress, 0, MoveState.HOLDING)
         assert progress is not None
@@ -258,7 +259,7 @@
         self.assertIsNone(self.decide(progress, cold=2))
         self.expect(self.decide(progress), 0, MoveState.RUNNING)
 
-    def test_what_is_not_warm(self) -> None:
+    def test_reasons_to_hold(self) -> None:
         given = {
             "shed 3 and failed 0 of 53": WARM._replace(shed=3),
             "shed 0 and failed 4 of 54": WARM._replace(failed=4),
@@ -274,19 +275,19 @@
         self.assertIsNone(find_hold_reason(ReceivingSide(Evidence(), 6, 0), 0.1))
         self.assertIsNotNone(find_hold_reason(ReceivingSide(WARM, 0, 0), 0.1))
 
-    def test_pause_keeps_the_step_and_resume_watches_it_anew(self) -> None:
+    def test_pause_and_resume_keep_the_step(self) -> None:
         paused = self.decide(progress_of(self.move, step=1), state="pause")
         self.expect(paused, 1, MoveState.PAUSED)
         self.assertIsNone(self.decide(paused, state="pause"))
         self.expect(self.decide(paused), 1, MoveState.RUNNING)
 
-    def test_abort_goes_back_and_resume_begins_at_the_first_step(self) -> None:
+    def test_abort_reverts_and_resume_begins_at_the_first_step(self) -> None:
         aborted = self.decide(progress_of(self.move, step=2), state="abort")
         self.expect(aborted, NOT_BEGUN, MoveState.ABORTED)
         self.assertIsNone(self.decide(aborted, state="abort"))
         self.expect(self.decide(aborted), 0, MoveState.RUNNING)
 
-    def test_new_plan_begins_anew_over_the_old_progress(self) -> None:
+    def test_new_plan_replaces_the_old_progress(self) -> None:
         old = progress_of(small_move(steps=(1.0,)), version=9)
         progress = self.decide(old)
         self.expect(progress, 0, MoveState.RUNNING)
--- a/tests/integration/test_moves_and_drains.py
+++ b/tests/integration/test_moves_and_drains.py
@@ -1,4 +1,4 @@
-"""Moves and drains under load, with real processes and their deaths, freezes and outages."""
+"""Moves and drains under load, with real processes, their deaths and freezes, and outages."""
 
 import time
 import unittest
@@ -66,7 +66,7 @@
         return [BackendAddress(server["address"], server["port"]) for server in servers]
 
     async def arrivals(self, service: str, servers: Sequence[BackendAddress]) -> list[float]:
-        """When requests arrived at the backend servers, by their process's monotonic clock."""
+        """Return the arrival times at backend servers, by their process's monotonic clock."""
         records = await trio.to_thread.run_sync(self.running.backends[service].records)
         return sorted(
             arrival["time"] for server in servers for arrival in records[server]["arrivals"]
@@ -75,22 +75,23 @@
     async def check_cap(self, service: str) -> None:
         times = await self.arrivals(service, self.group(service, "acquired"))
         self.assertGreater(len(times), CAP_RPS)
-        # One more than the cap within a second, in any window, would be a violation.
+        # No window of one second may hold one request more than the cap.
         shortest = min(later - first for first, later in zip(times, times[CAP_RPS:], strict=False))
         self.assertGreaterEqual(shortest, 1.0)
 
     def split(self, writer: str) -> tuple[EntryProcess, list[EntryProcess]]:
-        """The entry that writes, and the others."""
+        """Return the entry that is the writer, and the other entries."""
         address = writer.partition(":")[0]
         first = [entry for entry in self.running.entries if entry.settings.address == address]
         return first[0], [entry for entry in self.running.entries if entry is not first[0]]
 
     def test_move_survives_death_freeze_and_outage_and_keeps_its_cap(self) -> None:
-        """Symptom: a move stood still, jumped back or sent more than its cap.
+        """Guards against a move that stops, goes back a step or exceeds its cap.
 
-        Sequence: the writer dies at one step, the next is frozen at another and wakes, and the
-        platform is out at a third, all under more load than the cap. Cause: a single writer that
-        nobody replaces; a woken one that still writes; and a cap that each counts by itself.
+        The writer dies at one step, its successor is frozen at another and resumes, and the
+        platform is out at a third, all under a load above the cap. A writer could be left without
+        a successor, a resumed one could still write, and each instance could count the cap for
+        itself.
         """
 
         async def check() -> None:
@@ -127,15 +128,18 @@
         self.run_async(check)
 
     def check_answered(self, load: SteadyLoad) -> None:
-        """Nothing was refused; what failed met the entry that died, and certainly did not run."""
+        """Check that few requests failed, all with the verdict that they certainly did not run.
+
+        The failed requests were sent to the entry that died; no request was refused.
+        """
         others = {end: count for end, count in load.ends.items() if end != "status 200"}
         self.assertTrue(all(end.endswith("verdict not-run") for end in others), others)
         self.assertLess(sum(others.values()), 0.05 * load.ends["status 200"], others)
 
     async def outage(self, entry: EntryProcess) -> None:
-        """The platform does not answer for some seconds: the step stays, traffic goes on."""
+        """Freeze the platform for some seconds, and check that step and share stay."""
         self.running.platform.freeze()
-        # A write that was under way may still be learnt of.
+        # The result of a write in progress may still arrive.
         await trio.sleep(1.0)
         before = await self.move_at(entry)
         await trio.sleep(2.5)
@@ -144,7 +148,7 @@
         self.assertEqual((before["step"], before["share"]), (after["step"], after["share"]))
 
     def test_abort_and_drain(self) -> None:
-        """An abort sends traffic back, a drain takes new work away, and a download goes on."""
+        """An abort reverts traffic, a drain stops new work, and a running download continues."""
 
         async def check() -> None:
             async with steady_load(
@@ -155,7 +159,7 @@
                 await self.cli("move", "abort", "m", "--wait")
                 await self.check_quiet(self.group("records-vault", "acquired"))
                 await self.drain_under_load()
-                await self.leave_without_the_platform()
+                await self.check_leave_without_platform()
             self.assertEqual(sum(load.ends.values()), load.ends["status 200"], load.ends)
 
         self.run_async(check)
@@ -182,16 +186,16 @@
             received = sum([len(chunk) async for chunk in download.chunks()])
         self.assertEqual(received, size)
 
-    async def leave_without_the_platform(self) -> None:
-        """Symptom: a leaving backend server got work, since no drain could be written.
+    async def check_leave_without_platform(self) -> None:
+        """Guards against new work for a leaving backend server during an outage of the platform.
 
-        What it says of itself is enough, in its report or with a shed answer.
+        No drain can be written; the server's own report or a shed answer must be enough.
         """
         self.running.platform.freeze()
         await trio.sleep(1.0)
         backends = self.running.backends["records-vault"]
         records = await trio.to_thread.run_sync(backends.records)
-        # One that gets work now, or its silence would prove nothing.
+        # The server must be getting work, or the check that it gets none would prove nothing.
         leaving = max(
             self.group("records-vault", "main"),
             key=lambda server: max(
@@ -205,17 +209,20 @@
         self.running.platform.thaw()
 
     async def check_quiet(self, servers: Sequence[BackendAddress]) -> None:
-        """No new arrival after a few seconds from now; the stand-in has the same clock."""
+        """Check that no request arrives once the time for draining is over.
+
+        The stand-in for the backend servers uses the same clock.
+        """
         ordered_at = time.monotonic()
         await trio.sleep(DRAINED_WITHIN_S + 1.5)
         times = await self.arrivals("records-vault", servers)
         self.assertGreater(len(times), 0)
         self.assertEqual([time_s for time_s in times if time_s > ordered_at + DRAINED_WITHIN_S], [])
 
-    def test_callers_of_a_lost_region_are_served_by_the_others(self) -> None:
-        """Symptom: callers of a region stood without service after the region was lost.
+    def test_callers_of_a_lost_region_are_served_by_other_regions(self) -> None:
+        """Guards against callers without service after their region was lost.
 
-        Sequence: the region's only entry died, and its backend servers broke every connection.
+        The region's only entry dies, and its backend servers reset every connection.
         """
 
         async def check() -> None:
--- a/tests/nocover/test_move_schedules.py
+++ b/tests/nocover/test_move_schedules.py
@@ -1,4 +1,4 @@
-"""Writers of a move under random schedules of freezes, outages, lost answers and passing time."""
+"""Writers of a move under random schedules of freezes, outages, lost answers and delays."""
 
 import unittest
 from random import Random
@@ -27,7 +27,7 @@
 
 
 class Write(NamedTuple):
-    """A progress that landed."""
+    """A write of the progress that the platform accepted."""
 
     at: float
     step: int
@@ -35,7 +35,7 @@
 
 
 class FreezableWriter:
-    """A writer that can be frozen in the middle of a write."""
+    """A writer that can be frozen during a write."""
 
     def __init__(self, *, number: int, shared: FakePlatform, clock: FakeClock) -> None:
         own = PeerAddress(f"127.9.0.{number}", 7000, number)
@@ -74,7 +74,7 @@
         self._thawed = trio.Event()
 
     async def step(self) -> None:
-        """One step of the writer, unless one is under way."""
+        """Run one step of the writer, unless one is in progress."""
         if self.running:
             return
         self.running = True
@@ -87,7 +87,7 @@
 
 
 class Schedule:
-    """One random schedule, and what landed in the platform."""
+    """A random schedule, and the writes that the platform accepted."""
 
     def __init__(self, *, seed: int) -> None:
         self._random = Random(seed)
@@ -100,7 +100,7 @@
         self.writes: list[Write] = []
 
     async def run(self) -> None:
-        """Take random actions, then let everything go on."""
+        """Take random actions, then end all faults and let the move finish."""
         async with trio.open_nursery() as nursery:
             for _ in range(ACTIONS):
                 await self._act(nursery)
@@ -144,12 +144,12 @@
 
 
 class MoveSchedulesTest(unittest.TestCase):
-    def test_steps_come_one_by_one_and_each_is_held(self) -> None:
-        """Symptom: two steps within a second, or a step skipped.
+    def test_steps_advance_one_by_one_and_each_is_held(self) -> None:
+        """Guards against two steps within a second, and against a skipped step.
 
-        Sequence: a writer freezes between its decision and its write, or loses the platform or an
-        answer; another takes over; the first wakes and its write arrives, or it decides on what it
-        knew. Cause: a decision made on a progress that is not the newest any more.
+        A writer freezes between its decision and its write, or loses the platform or an answer,
+        and another takes over. The first resumes, and its write arrives or it decides by a
+        progress that is stale.
         """
         for seed in range(SCHEDULES):
             schedule = Schedule(seed=seed)
