--- a/src/wagtailpoint/membership/config_spread.py
+++ b/src/wagtailpoint/membership/config_spread.py
@@ -1,8 +1,9 @@
-"""The configuration goes from instance to instance, so that few of them need to ask the platform.
+"""Distribution of the configuration between instances, so that few need to read the platform.
 
-Whoever gets a newer version tells a few others, which fetch what they lack and tell on. Who is not
-told learns of it from the versions that the membership spreads. A starting instance gets all of it
-from any other one, also while the platform is out.
+An instance that gets a newer version announces it to a few others, which fetch the difference and
+announce it in turn. An instance that no announcement reaches learns of the version from the
+membership gossip. A starting instance gets the whole configuration from any other instance, also
+while the platform is unavailable.
 """
 
 from collections import OrderedDict
@@ -22,24 +23,24 @@
     compute_digest,
     encode_delta,
 )
-from wagtailpoint.membership.config_messages import ConfigAsk, ConfigHave, ConfigPart
+from wagtailpoint.membership.config_messages import ConfigAnnouncement, ConfigPart, ConfigRequest
 from wagtailpoint.membership.service import Membership
 from wagtailpoint.observe.log import log_event
 from wagtailpoint.ports.peers import PeerAddress, Peers, Received
 
 PART_BYTES = 256 << 10
-MOST_ENCODED_KEPT = 4
-MOST_TOLD_KEPT = 64
-NOTHING = ConfigPart(change=None, from_version=0, digest=b"", parts=0, data=b"")
+MAX_ENCODED_DELTAS = 4
+MAX_ANNOUNCEMENTS = 64
+NO_PART = ConfigPart(change=None, from_version=0, digest=b"", parts=0, data=b"")
 
 
 class ConfigSpreadSettings(NamedTuple):
-    """The times and numbers of spreading the configuration.
+    """Settings of the distribution of the configuration.
 
     Attributes:
-        fanout: How many others are told at once.
-        reply_timeout_s: For one part.
-        retry_pause_s: After a fetch that failed, and between two questions while there is none.
+        fanout: The number of instances to which a new version is announced.
+        reply_timeout_s: The time-out of a request for one part, in seconds.
+        retry_pause_s: The mean delay after a fetch that failed or found nothing newer, in seconds.
     """
 
     fanout: int = 3
@@ -62,13 +63,13 @@
 
 
 class ConfigSpread:
-    """Moves the configuration between instances; never back to an older version.
+    """Exchanges configuration versions with peers; never returns to an older version.
 
     Args:
-        peers: The links to the others.
-        membership: Who they are, and which version each enforces.
-        random: Chooses whom to tell and whom to ask.
-        settings: Times and numbers.
+        peers: The links to the other instances.
+        membership: The other instances, with the version that each enforces.
+        random: Chooses the instances to announce to and to fetch from, and varies delays.
+        settings: Time-outs, delays and limits.
     """
 
     def __init__(
@@ -86,41 +87,41 @@
         self._current: Snapshot | None = None
         self._history = DeltaHistory()
         self._encoded: OrderedDict[tuple[int, int], _Encoded] = OrderedDict()
-        self._told: OrderedDict[PeerAddress, int] = OrderedDict()
+        self._announcements: OrderedDict[PeerAddress, int] = OrderedDict()
         self._callbacks: list[Callable[[Snapshot], None]] = []
-        self._wanted = trio.Event()
-        self._wanted.set()
-        peers.handle(ConfigHave, self._on_have)
-        peers.handle(ConfigAsk, self._on_ask)
-        membership.on_change(self._note_versions)
+        self._fetch_wanted = trio.Event()
+        self._fetch_wanted.set()
+        peers.handle(ConfigAnnouncement, self._on_announcement)
+        peers.handle(ConfigRequest, self._on_request)
+        membership.on_change(self._check_versions)
 
     def current(self) -> Snapshot | None:
         """Return the newest configuration that this instance has."""
         return self._current
 
     def on_snapshot(self, callback: Callable[[Snapshot], None]) -> None:
-        """Call ``callback`` with each newer configuration that a peer had."""
+        """Call ``callback`` with each newer configuration that is fetched from a peer."""
         self._callbacks.append(callback)
 
     def offer(self, snapshot: Snapshot) -> bool:
-        """Take in what was read from the platform and tell the others; False if it is not newer."""
+        """Accept and announce a snapshot from the platform; return whether it is newer."""
         if snapshot.change.version <= self._version:
             return False
         self._accept(add_content_hashes(snapshot))
         return True
 
     async def run(self) -> None:
-        """Fetch what others have, until cancelled."""
+        """Fetch newer versions from peers until cancelled."""
         while True:
-            await self._wanted.wait()
-            self._wanted = trio.Event()
+            await self._fetch_wanted.wait()
+            self._fetch_wanted = trio.Event()
             source = self._choose_source()
             if source is None:
                 continue
             if not await self._fetch(source):
-                self._told.pop(source, None)
+                self._announcements.pop(source, None)
                 await trio.sleep(self._settings.retry_pause_s * self._random.uniform(0.5, 1.5))
-            self._wanted.set()
+            self._fetch_wanted.set()
 
     @property
     def _version(self) -> int:
@@ -131,9 +132,9 @@
             self._history.add(self._current, snapshot)
         self._current = snapshot
         log_event("config-received", version=snapshot.change.version)
-        self._tell()
+        self._announce()
 
-    def _tell(self) -> None:
+    def _announce(self) -> None:
         others = [
             member
             for member in self._membership.members()
@@ -142,18 +143,18 @@
             and member.address != self._peers.address.address
         ]
         for member in self._random.sample(others, min(self._settings.fanout, len(others))):
-            self._peers.send(member.peer_address, ConfigHave(self._version))
+            self._peers.send(member.peer_address, ConfigAnnouncement(self._version))
 
-    def _note_versions(self) -> None:
+    def _check_versions(self) -> None:
         if self._current is None or self._choose_source() is not None:
-            self._wanted.set()
+            self._fetch_wanted.set()
 
-    def _on_have(self, received: Received) -> None:
+    def _on_announcement(self, received: Received) -> None:
         if received.message.version > self._version:
-            self._told[received.sender] = received.message.version
-            if len(self._told) > MOST_TOLD_KEPT:
-                self._told.popitem(last=False)
-            self._wanted.set()
+            self._announcements[received.sender] = received.message.version
+            if len(self._announcements) > MAX_ANNOUNCEMENTS:
+                self._announcements.popitem(last=False)
+            self._fetch_wanted.set()
 
     def _choose_source(self) -> PeerAddress | None:
         members = [
@@ -161,24 +162,28 @@
             for member in self._membership.members()
             if member.state != "dead" and member.address != self._peers.address.address
         ]
-        sources = [one.peer_address for one in members if one.config_version > self._version]
-        sources += [to for to, version in self._told.items() if version > self._version]
+        sources = [
+            member.peer_address for member in members if member.config_version > self._version
+        ]
+        sources += [
+            peer for peer, version in self._announcements.items() if version > self._version
+        ]
         if not sources and self._current is None:
-            # Nobody enforces a version yet, but one may have got it just now.
+            # No member reports a version yet, but one may have just received its first.
             sources = [member.peer_address for member in members]
         return self._random.choice(sources) if sources else None
 
     async def _fetch(self, source: PeerAddress) -> bool:
-        """Fetch what one other has; False if nothing newer came of it."""
+        """Fetch the newest version of one peer; return whether it had a newer one."""
         try:
             snapshot = await self._fetch_from(source, self._current)
         except BrokenDelta as error:
-            # The other one's idea of what this one has is wrong; everything is always right.
+            # The peer made the delta for another base; the whole configuration needs none.
             log_event("config-delta-broken", level="WARNING", source=source, reason=error)
             snapshot = await self._fetch_from(source, None)
         if snapshot is None:
             return False
-        # The platform may have delivered a newer one while the parts were on their way.
+        # The platform may have delivered a newer version during the fetch.
         if snapshot.change.version > self._version:
             self._accept(snapshot)
             for callback in self._callbacks:
@@ -186,56 +191,62 @@
         return True
 
     async def _fetch_from(self, source: PeerAddress, base: Snapshot | None) -> Snapshot | None:
-        """Fetch the newest version that one other has; None if it has nothing newer.
+        """Return the newest version of one peer; None if it has none newer or does not answer.
 
         Raises:
-            BrokenDelta: What arrived does not lead to that version.
+            BrokenDelta: The received delta does not lead to that version.
         """
         from_version = base.change.version if base is not None else 0
-        first = await self._ask(source, ConfigAsk(from_version, 0, 0))
-        if first is None or first.change is None or first.change.version <= self._version:
+        first_part = await self._request_part(source, ConfigRequest(from_version, 0, 0))
+        if (
+            first_part is None
+            or first_part.change is None
+            or first_part.change.version <= self._version
+        ):
             return None
-        data = [first.data]
-        for index in range(1, first.parts):
-            part = await self._ask(source, ConfigAsk(from_version, first.change.version, index))
-            if part is None or part.change != first.change:
+        data = [first_part.data]
+        for index in range(1, first_part.parts):
+            part = await self._request_part(
+                source, ConfigRequest(from_version, first_part.change.version, index)
+            )
+            if part is None or part.change != first_part.change:
                 return None
             data.append(part.data)
-        base = base if first.from_version else None
-        return apply_delta(base, b"".join(data), change=first.change, digest=first.digest)
+        base = base if first_part.from_version else None
+        return apply_delta(base, b"".join(data), change=first_part.change, digest=first_part.digest)
 
-    async def _ask(self, source: PeerAddress, question: ConfigAsk) -> ConfigPart | None:
+    async def _request_part(self, source: PeerAddress, request: ConfigRequest) -> ConfigPart | None:
         timeout_s = self._settings.reply_timeout_s
-        match await self._peers.request(source, question, timeout_s=timeout_s):
+        match await self._peers.request(source, request, timeout_s=timeout_s):
             case Ok(ConfigPart() as part):
                 return part
             case _:
                 return None
 
-    def _on_ask(self, received: Received) -> ConfigPart:
-        question: ConfigAsk = received.message
-        encoded = self._find_encoded(question)
-        if encoded is None or question.part >= encoded.parts:
-            return NOTHING
+    def _on_request(self, received: Received) -> ConfigPart:
+        request: ConfigRequest = received.message
+        encoded = self._find_encoded(request)
+        if encoded is None or request.part >= encoded.parts:
+            return NO_PART
         return ConfigPart(
             change=encoded.change,
             from_version=encoded.from_version,
             digest=encoded.digest,
             parts=encoded.parts,
-            data=encoded.part(question.part),
+            data=encoded.part(request.part),
         )
 
-    def _find_encoded(self, question: ConfigAsk) -> _Encoded | None:
+    def _find_encoded(self, request: ConfigRequest) -> _Encoded | None:
         current = self._current
-        if current is None or question.from_version >= current.change.version:
+        if current is None or request.from_version >= current.change.version:
             return None
-        # Parts of a version that was replaced while it is being fetched are still given out.
-        key = (question.from_version, question.version or current.change.version)
+        # Parts of an older version are still served, so that a fetch that has begun can finish.
+        key = (request.from_version, request.version or current.change.version)
         encoded = self._encoded.get(key)
         if encoded is None and key[1] == current.change.version:
-            encoded = self._encode(current, question.from_version)
+            encoded = self._encode(current, request.from_version)
             self._encoded[key] = encoded
-            while len(self._encoded) > MOST_ENCODED_KEPT:
+            while len(self._encoded) > MAX_ENCODED_DELTAS:
                 self._encoded.popitem(last=False)
         return encoded
 
