--- a/src/wagtailpoint/proxy/__init__.py
+++ b/src/wagtailpoint/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The request path: a caller's connection, one exchange with a backend server, what is between."""
+"""The request path: callers' connections, request dispatch and exchanges with backend servers."""
--- a/src/wagtailpoint/proxy/backend_connection.py
+++ b/src/wagtailpoint/proxy/backend_connection.py
@@ -1,8 +1,8 @@
-"""One HTTP/1.1 connection to a backend server, and one exchange at a time on it.
+"""HTTP/1.1 connections to backend servers, each carrying one exchange at a time.
 
-h11 over a trio stream, not httpcore: a response has to be read while a long request is still being
-sent, a response to another request must be stepped over, and bytes behind a response must poison
-the connection. httpcore does none of these.
+Uses h11 over a trio stream because httpcore lacks three features needed here: reading the response
+while a long request is still being sent, skipping a response to another request, and not reusing a
+connection that has received bytes after the end of a response.
 """
 
 import socket
@@ -21,40 +21,41 @@
 READ_BYTES = 64 * 1024
 
 MAX_BUFFERED_RESPONSE_BYTES = 1024 * 1024
-"""A response up to this size is read whole before any of it is passed on: one that breaks off can
-then be replaced by another backend server's. Longer ones are passed on as they come."""
+"""Responses up to this size are read completely before being forwarded, so that a truncated one can
+be replaced by another backend server's response. Longer responses are streamed."""
 
 MAX_INLINE_REQUEST_BYTES = 4 * 1024
-"""A request up to this size is handed to the socket in one step; a longer one is sent while the
-response is awaited, since a backend server may answer and stop reading."""
+"""Requests with a body up to this size are sent before the response is awaited. Longer ones are
+sent while it is awaited, since a backend server may respond and stop reading the request."""
 
 MAX_MISMATCHED_RESPONSES = 3
-"""Responses to other requests that are stepped over before the connection is given up."""
+"""The exchange fails after this number of responses to other requests."""
 
 DEFAULT_IDLE_TIMEOUT_S = 4.0
-"""How long a connection rests before it is not used again, unless the backend server says how long
-it keeps it; under the shortest usual time-out of servers (5 s)."""
+"""Idle time after which a connection is not reused if the backend server sends no ``Keep-Alive``
+timeout; below the shortest common server timeout (5 s)."""
 
 IDLE_TIMEOUT_FRACTION = 0.8
-"""So much of the backend server's own idle time-out: a request must not meet the close."""
+"""Fraction of the backend server's idle timeout for which a connection is reused, so that a request
+is not sent while the backend server closes the connection."""
 
 MISDIRECTED: Final = 421
 
 TCP_USER_TIMEOUT_MS = 3000
-"""Bytes that stay unacknowledged for so long end the connection."""
+"""The kernel closes the connection when sent data stays unacknowledged for this time."""
 
 
 class OutgoingRequest(NamedTuple):
-    """A request on its way to a backend server.
+    """A request to send to a backend server.
 
     Attributes:
-        request_id: The caller's id; the response must repeat it.
+        request_id: The caller's id; the response must echo it.
         method: For example ``GET``.
         target: Path and query, unchanged.
-        headers: The head without framing.
-        body: What was read of the body.
-        rest: The rest of the body as it arrives; None if ``body`` is all.
-        body_bytes: The length of the whole body if there is a rest and its length is known.
+        headers: The headers without framing headers.
+        body: The part of the body that has been read.
+        rest: The rest of the body as it arrives; None if ``body`` is complete.
+        body_bytes: The length of the complete body; None if unknown. Used only if ``rest`` is set.
     """
 
     request_id: bytes
@@ -67,15 +68,15 @@
 
 
 class BackendReply(NamedTuple):
-    """A response to our request.
+    """A backend server's response to a request.
 
     Attributes:
         status: HTTP status.
-        headers: End-to-end headers, without framing.
+        headers: End-to-end headers, without framing headers.
         body: The body, or its beginning.
-        rest: The rest of a long body; None if ``body`` is all. Raises ``BodyBroken``.
-        length: The length of the whole body if it was promised and there is a rest.
-        not_run: The backend server says that it did not run the request.
+        rest: The rest of a long body; None if ``body`` is complete. Raises ``BodyBroken``.
+        length: The value of ``Content-Length``; None if absent.
+        not_run: Whether the backend server states that it did not run the request.
     """
 
     status: int
@@ -87,12 +88,12 @@
 
 
 class ExchangeFailed(Exception):
-    """An exchange that gave no usable response.
+    """An exchange ended without a usable response.
 
     Attributes:
-        verdict: ``NOT_RUN`` only if no byte of the request can have left.
-        reason: What went wrong.
-        silent: The backend server has answered nothing at all since the request was sent.
+        verdict: ``NOT_RUN`` only if no byte of the request can have been sent.
+        reason: Why the exchange failed.
+        silent: Whether the backend server has answered no request at all since this one was sent.
     """
 
     def __init__(
@@ -105,7 +106,7 @@
 
 
 class BackendConnection:
-    """One connection to a backend server."""
+    """A connection to a backend server that carries one exchange at a time."""
 
     def __init__(self, *, stream: trio.SocketStream, names: HeaderNames) -> None:
         self._stream = stream
@@ -119,10 +120,10 @@
         self._idle_since = trio.current_time()
 
     def is_reusable(self) -> bool:
-        """Whether the last exchange ended cleanly, with nothing left over.
+        """Whether the last exchange was completed and no further bytes have arrived.
 
-        Bytes behind the end of a response belong to no request; the next one on the connection
-        would be given them as its answer.
+        Bytes after the end of a response belong to no request, and would be taken for the response
+        to the next request on the connection.
         """
         return (
             self._response_complete
@@ -132,28 +133,29 @@
         )
 
     def mark_idle(self) -> None:
-        """Begin to rest."""
+        """Record that the connection is idle from this moment on."""
         self._idle_since = trio.current_time()
 
     def has_expired(self) -> bool:
-        """Whether the backend server may be about to close it, or has."""
+        """Whether the backend server may have closed the connection, or may soon close it."""
         if trio.current_time() - self._idle_since > self._idle_timeout_s:
             return True
-        # Readable while nothing is awaited: it was closed, or bytes came that nobody asked for.
+        # An idle connection that is readable was closed, or has received unsolicited bytes.
         return self._stream.socket.is_readable()
 
     async def close(self) -> None:
-        """Close it at once, whatever goes on on it."""
+        """Close the connection at once, also during an exchange."""
         with trio.CancelScope(shield=True):
             await trio.aclose_forcefully(self._stream)
 
     async def exchange(self, request: OutgoingRequest) -> BackendReply:
         """Send a request and read its response.
 
-        Whoever cancels it must close the connection, and take the request as one that may have run.
+        A caller that cancels the exchange must close the connection and treat the request as one
+        that may have run.
 
         Raises:
-            ExchangeFailed: There was no usable response.
+            ExchangeFailed: The backend server gave no usable response.
         """
         self._is_unused, was_unused = False, self._is_unused
         self._request_sent = self._response_complete = False
@@ -162,7 +164,7 @@
             await self._send(request)
             outcome = await self._receive(request, was_unused)
         else:
-            # The outcome is a value in here: a nursery would wrap an exception into a group.
+            # The failure is returned because a nursery would wrap an exception in a group.
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._send, request)
                 outcome = await self._receive(request, was_unused)
@@ -172,10 +174,10 @@
         return outcome
 
     def _reset_parser(self, request: OutgoingRequest) -> None:
-        """Make a parser that awaits the response to a request with this method.
+        """Create a parser for the response to a request with this method.
 
-        It is told of the request without its body, so that it does not matter how much of the body
-        has been sent when the response comes.
+        The parser is given the request without its body, so that it accepts a response before the
+        body has been sent.
         """
         self._parser = h11.Connection(h11.CLIENT)
         self._parser.send(
@@ -203,10 +205,10 @@
                 await self._stream.send_all(encoder.send(h11.EndOfMessage()) or b"")
             self._request_sent = True
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            # A reset while sending is not the end: the response may be there already.
+            # The response may have arrived before the connection was reset.
             return
         except (CallerGone, h11.ProtocolError):
-            # The caller broke its request off: the backend server must not take it for whole.
+            # The caller aborted its request; the backend server must not take it as complete.
             await self.close()
 
     async def _receive(
@@ -220,7 +222,9 @@
                 await self._skip_response(request)
         except h11.RemoteProtocolError as error:
             if self._end_received:
-                return _may_have_run(FailureReason.RESET, "closed before the end of the response")
+                return _may_have_run(
+                    FailureReason.RESET, "connection closed before the end of the response"
+                )
             return _may_have_run(FailureReason.BAD_RESPONSE, str(error))
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError) as error:
             return _may_have_run(FailureReason.RESET, str(error))
@@ -229,7 +233,10 @@
         return _may_have_run(FailureReason.CROSSED_ANSWER)
 
     def _is_response_to(self, headers: Headers, request: OutgoingRequest, was_unused: bool) -> bool:
-        """Whether a response answers our request; without an id only on a fresh connection."""
+        """Whether a response belongs to the request.
+
+        A response without a request id is accepted only on a connection that was not used before.
+        """
         echoed = header_value(headers, self._names.request_id)
         return echoed == request.request_id if echoed is not None else was_unused
 
@@ -239,10 +246,10 @@
             if isinstance(event, h11.Response):
                 return event
             if not isinstance(event, h11.InformationalResponse):
-                raise _may_have_run(FailureReason.RESET, "closed")
+                raise _may_have_run(FailureReason.RESET, "connection closed before the response")
 
     async def _skip_response(self, request: OutgoingRequest) -> None:
-        """Drop a response to another request, and await the next one."""
+        """Discard a response to another request and prepare to parse the next response."""
         while not isinstance(await self._next_event(), h11.EndOfMessage):
             pass
         left, ended = self._parser.trailing_data
@@ -263,7 +270,9 @@
                 self._response_complete = True
                 break
             if not isinstance(event, h11.Data):
-                raise _may_have_run(FailureReason.RESET, "the body ended early")
+                raise _may_have_run(
+                    FailureReason.RESET, "connection closed before the end of the body"
+                )
             body += event.data
             if len(body) > MAX_BUFFERED_RESPONSE_BYTES:
                 rest = self._stream_body()
@@ -287,7 +296,7 @@
                     self._response_complete = True
                     return
                 if not isinstance(event, h11.Data):
-                    raise BodyBroken("the connection ended in the middle of the body")
+                    raise BodyBroken("connection closed before the end of the body")
                 yield bytes(event.data)
         except (h11.RemoteProtocolError, trio.BrokenResourceError) as error:
             raise BodyBroken(str(error)) from error
@@ -309,10 +318,10 @@
 
 
 async def open_connection(address: BackendAddress, names: HeaderNames) -> BackendConnection:
-    """Open a connection.
+    """Open a connection to a backend server.
 
     Raises:
-        OSError: The backend server refused it, or can't be reached.
+        OSError: The backend server refused the connection or can't be reached.
     """
     sock = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
--- a/src/wagtailpoint/proxy/backend_pool.py
+++ b/src/wagtailpoint/proxy/backend_pool.py
@@ -1,4 +1,4 @@
-"""The connections to all backend servers: which is used again, which is closed."""
+"""The pool of connections to backend servers."""
 
 from collections import deque
 from typing import Final, Literal
@@ -19,47 +19,51 @@
 from wagtailpoint.verdict import Verdict
 
 SparePurpose = Literal["next-request", "after-start", "distance", "after-failure", "crash-check"]
-"""What a connection is opened for that no request waits for."""
+"""Why a connection is opened that no request is waiting for."""
 
 MAX_IDLE_CONNECTIONS: Final = 8
-"""Idle connections kept for each backend server."""
+"""Maximum number of idle connections for each start of a backend server."""
 
 CONNECT_TIMEOUT_SLACK_S: Final = 0.2
 CONNECT_TIMEOUT_ROUND_TRIPS: Final = 2.0
-"""How long a connection may take to open: so many round trips and the slack in seconds, for a
-machine that gets no processor time for a tenth of one. One without power never answers at all,
-and a lost packet is sent again after a second, too late for most requests: better another one."""
+"""The timeout for opening a connection is this number of round trips plus the slack, which allows
+for a host that gets no processor time for 0.1 s. A host without power never answers, and a lost
+packet is retransmitted only after 1 s, too late for most requests: another backend server is tried
+instead."""
 
 MIN_SPARE_ROUND_TRIP_S: Final = 0.01
-"""From this round trip on a spare connection is opened for each one in use. A request that has to
-open its own waits a round trip more, which at 110 ms is a third to half of the time in which an
-answer has its full value; a connection that is never used costs a hundredth of an answer."""
+"""Spare connections are opened for backend servers with at least this round trip time. A request
+that opens its own connection waits for one more round trip; at 110 ms that is a third to half of
+the time in which an answer has its full value. An unused connection costs a hundredth of an answer.
+"""
 
 REUSE_WEIGHT: Final = 0.02
 MIN_REUSE_FRACTION: Final = 0.4
-"""The weight of one request in the part of requests that find an idle connection, and the least
-part with which spare ones are opened. An instance that sends 8 requests a second to 400 backend
-servers meets each of them once a minute, and closes its spare connections unused."""
+"""The weight of one request in the average fraction of requests that find an idle connection, and
+the minimum fraction at which spare connections are opened. An instance that sends 8 requests a
+second to 400 backend servers reaches each of them about once a minute, so that its spare
+connections would be closed unused."""
 
 SWEEP_INTERVAL_S: Final = 2.0
-"""How often connections that rested too long are closed; the backend server closes them anyway, but
-its end would not be noticed, and the descriptor kept, until the next request to it."""
+"""Interval at which expired connections are closed. The backend server closes them too, but without
+this the instance would keep their descriptors until its next request to that backend server."""
 
 
 class BackendPool:
-    """Idle connections by the start of the backend server, and new ones.
+    """Reuses idle connections to backend servers and opens new ones.
 
-    Kept by start and not by address: an address is given to another backend server when its first
-    one has ended, and a connection must not outlive that.
+    Idle connections are stored by the start of the backend server instead of its address: after a
+    backend server has ended, its address may be assigned to another one, and a connection must not
+    be used beyond that.
     """
 
     def __init__(self, *, names: HeaderNames, distances: Distances, metrics: Metrics) -> None:
-        """Make it empty.
+        """Initialise an empty pool.
 
         Args:
             names: The deployment's header names.
-            distances: Says how long a connection may take to open, and learns how long it took.
-            metrics: Counts the connections by what they were opened for.
+            distances: Gives the round trip times for connect timeouts, and receives measured ones.
+            metrics: Counts opened connections by purpose.
         """
         self._names = names
         self._distances = distances
@@ -70,7 +74,7 @@
         self._nursery: trio.Nursery | None = None
 
     async def run(self) -> None:
-        """Open spare connections and close those that rested too long, until cancelled."""
+        """Open spare connections and close expired ones until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             while True:
@@ -78,7 +82,7 @@
                 await self._close_expired()
 
     async def acquire(self, entry: ServerEntry) -> BackendConnection:
-        """Take an idle connection, or open one. No byte of a request leaves here.
+        """Take an idle connection or open one, without sending anything on it.
 
         Raises:
             ExchangeFailed: No connection could be opened.
@@ -95,30 +99,31 @@
         return connection
 
     async def release(self, start: ServerStart, connection: BackendConnection) -> None:
-        """Give a connection back: it is kept if it is clean, otherwise closed."""
+        """Return a connection to the pool, or close it if it is not reusable."""
         if not connection.is_reusable():
             await connection.close()
             return
         await self._add_idle(start, connection)
 
     async def close(self, start: ServerStart) -> None:
-        """Close the idle connections to a backend server that is gone."""
+        """Close the idle connections to a backend server that has ended."""
         for connection in self._idle.pop(start, ()):
             await connection.close()
 
     def has_spare(self, entry: ServerEntry) -> bool:
-        """Whether a usable connection is idle, or is being opened for the next request."""
+        """Whether a usable connection is idle or a spare one is being opened."""
         if entry.start in self._opening_spare:
             return True
         return any(not candidate.has_expired() for candidate in self._idle.get(entry.start, ()))
 
     async def open_spare(self, entry: ServerEntry, purpose: SparePurpose) -> FailureReason | None:
-        """Open a connection for the next request; return why that failed, None if it did not."""
+        """Open a spare connection; return the reason of a failure, or None on success."""
         self._opening_spare.add(entry.start)
         try:
             connection = await self._open(entry, purpose)
         except ExchangeFailed as error:
-            # Nobody waits for it: whoever needs a connection opens one, and learns what is wrong.
+            # No request waits for this connection; one that needs it opens its own and handles the
+            # failure.
             log_event("spare-not-opened", server=entry.server_id, reason=error)
             return error.reason
         finally:
@@ -127,7 +132,11 @@
         return None
 
     def _record_acquired(self, entry: ServerEntry, *, reused: bool) -> None:
-        """Have a spare connection opened where it takes long and none is idle, if they are used."""
+        """Record an acquired connection and open a spare one if it is likely to be useful.
+
+        That requires a long round trip, no idle connection to this backend server, and a sufficient
+        fraction of recent requests that found an idle connection.
+        """
         self._reuse_fraction += REUSE_WEIGHT * (reused - self._reuse_fraction)
         if self._nursery is None or self._idle.get(entry.start):
             return
@@ -168,7 +177,7 @@
         for start, idle in list(self._idle.items()):
             expired = [candidate for candidate in idle if candidate.has_expired()]
             for connection in expired:
-                # In place: a request may be looking through the same queue.
+                # Removed in place because ``acquire`` may be iterating over the same queue.
                 idle.remove(connection)
             if not idle:
                 del self._idle[start]
--- a/src/wagtailpoint/proxy/caller_connection.py
+++ b/src/wagtailpoint/proxy/caller_connection.py
@@ -1,8 +1,8 @@
-"""One caller's connection: requests served at the same time, replies in the order of the requests.
+"""A caller's HTTP/1.1 connection: serves pipelined requests concurrently and replies in order.
 
-h11 over a trio stream, not hypercorn: a caller that leaves has to be noticed while its request is
-at a backend server, also when further requests wait behind it on the connection. Hypercorn stops
-reading a connection in that state, so the close would be seen only after the reply.
+Uses h11 over a trio stream instead of hypercorn: the close of a connection must be detected while a
+request is at a backend server, also if further pipelined requests have arrived. Hypercorn stops
+reading the connection in that state and detects the close only after the reply.
 """
 
 import math
@@ -29,21 +29,21 @@
 from wagtailpoint.routing.table import CallerBounds
 
 LINGER_TIMEOUT_S: Final = 1.0
-"""After the last reply the rest of what the caller sends is read for so long: a close with unread
-bytes resets the connection, and the reset can overtake the reply."""
+"""Time for which remaining input is read and discarded after the last reply. Closing a connection
+with unread bytes resets it, and the caller may receive the reset before it has read the reply."""
 
 MAX_OPEN_REQUESTS: Final = 8
-"""Requests of one connection that are served at the same time; more wait unread. Callers send a few
-ahead, and what an instance holds for one of them is bounded so."""
+"""Maximum number of requests of one connection that are served concurrently, which bounds the
+memory used for one caller. Callers pipeline only a few requests; further ones wait unread."""
 
 RequestHandler = Callable[[IncomingRequest, CallerExchange], Awaitable[None]]
 
 
 class CallerConnection:
-    """One caller's connection.
+    """Serves the requests of one caller's connection.
 
-    Requests that a caller sends ahead are served at the same time, as far as they are safe. Served
-    one after the other, each waited for the backend servers of all before it.
+    Pipelined requests with safe methods are served concurrently. If they were served sequentially,
+    each would wait for the backend servers of all requests before it.
     """
 
     def __init__(
@@ -54,13 +54,14 @@
         bounds: Callable[[], CallerBounds],
         is_leaving: Callable[[], bool],
     ) -> None:
-        """Make a connection that was just accepted.
+        """Initialise a connection that was just accepted.
 
         Args:
-            stream: Its socket.
-            handler: Serves one request; it must reply.
-            bounds: What callers may send, by the configuration in force.
-            is_leaving: Whether callers shall not use the connection again.
+            stream: The socket of the connection.
+            handler: Serves one request; it must send a reply.
+            bounds: Returns the limits on callers' requests of the configuration in force.
+            is_leaving: Returns whether the instance is stopping, so that callers should not use the
+                connection for further requests.
         """
         self._stream = stream
         self._handler = handler
@@ -75,16 +76,16 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is open on it."""
+        """Whether no request is open on the connection."""
         return not self._open_exchanges
 
     def close_if_idle(self) -> None:
-        """Close it, unless a request is open or has begun to arrive."""
+        """Close the connection unless a request is open or has begun to arrive."""
         if self.is_idle and self._incoming.is_empty and not self._head_started:
             self._next_head_scope.cancel()
 
     async def run(self) -> None:
-        """Serve it to its end."""
+        """Serve requests until the connection ends."""
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._read)
@@ -98,7 +99,7 @@
                 and self._last_exchange.is_http_1_0
                 and not self._last_exchange.is_replied
             ):
-                # The end of the connection would be the regular end of a reply that broke off.
+                # An HTTP/1.0 caller would take a regular close for the end of a truncated reply.
                 reset_on_close(self._stream)
             await trio.aclose_forcefully(self._stream)
 
@@ -112,7 +113,7 @@
             scope.cancel()
 
     async def _serve_requests(self, nursery: trio.Nursery) -> None:
-        """Start each request as it comes, until one of them ends the connection."""
+        """Start requests as they arrive until one of them ends the connection."""
         while not self._is_closed():
             exchange = await self._next_exchange()
             if exchange is None:
@@ -127,11 +128,11 @@
                 return
 
     async def _wait_until_startable(self, exchange: CallerExchange) -> bool:
-        """Wait until a request may be started; False if the connection ends before it.
+        """Wait until a request may be started; return False if the connection ends first.
 
-        Only safe requests are served at the same time. An instance that leaves starts none beside
-        others: the connection ends with one of the replies, and what is behind that one must not
-        have run, since its caller sends it again.
+        Only safe requests are served concurrently. A stopping instance starts a request only if no
+        other is open: the connection ends with one of the replies, and requests after that reply
+        must not have run because the caller sends them again.
         """
         while self._open_exchanges:
             must_run_alone = not exchange.is_safe or not all(
@@ -177,23 +178,23 @@
         try:
             await self._handler(exchange.request, exchange)
         except BodyBroken as error:
-            # The connection ends without the rest: the caller sees a broken body.
+            # The connection is closed before the end of the body, so that the caller detects it.
             log_event("reply-cut", level="WARNING", target=target, error=error)
             self._abort()
         except h11.RemoteProtocolError as error:
             await exchange.refuse(HTTPStatus(error.error_status_hint), str(error))
         except CallerGone:
             raise
-        except Exception as error:  # noqa: BLE001 - one request's fault must not end the others
+        except Exception as error:  # noqa: BLE001 - an error in one request must not end the others
             log_event("internal-error", level="ERROR", target=target, error=repr(error))
             await exchange.reply_with_error(HTTPStatus.INTERNAL_SERVER_ERROR, b"internal error\n")
 
     def _closes_after(self, exchange: CallerExchange) -> bool:
-        """Whether the reply to a request says that the connection ends with it."""
+        """Whether the reply to an exchange must announce the end of the connection."""
         return self._is_leaving() and exchange is self._last_exchange
 
     async def _next_exchange(self) -> CallerExchange | None:
-        """Wait for the next request; None when the connection ends before one."""
+        """Wait for the next request; return None if the connection ends first."""
         parser = h11.Connection(h11.SERVER, max_incomplete_event_size=self._bounds().header_bytes)
         try:
             head = await self._next_head(parser)
@@ -215,7 +216,7 @@
         )
 
     async def _next_head(self, parser: h11.Connection) -> IncomingRequest | None:
-        """Wait for a head; None when the connection rested for long enough, or ends."""
+        """Wait for the next request head; return None on a timeout or at the end of the input."""
         bounds = self._bounds()
         self._next_head_scope = trio.CancelScope(
             deadline=math.inf if self._open_exchanges else self._idle_deadline()
@@ -232,7 +233,7 @@
             return _parsed_request(event)
         if self._head_started:
             await self._refuse_malformed(
-                parser, HTTPStatus.REQUEST_TIMEOUT, "the head came too slowly"
+                parser, HTTPStatus.REQUEST_TIMEOUT, "request head not received in time"
             )
         return None
 
@@ -242,7 +243,7 @@
     async def _refuse_malformed(
         self, parser: h11.Connection, status: HTTPStatus, reason: str
     ) -> None:
-        """Reply to what is no request, behind the replies to those before it."""
+        """Refuse a malformed request after the replies to all requests before it."""
         log_event("request-refused", status=status.value, reason=reason)
         while self._open_exchanges:
             await self._wait_request_ended()
@@ -261,7 +262,7 @@
         return self._incoming.is_closed
 
     def _is_ending(self) -> bool:
-        """Whether no further request may be answered on the connection."""
+        """Whether the connection can't carry a reply to a further request."""
         ended = self._last_exchange is not None and not self._last_exchange.can_be_followed
         return ended or self._is_closed()
 
@@ -280,7 +281,7 @@
 
 
 def reset_on_close(stream: trio.SocketStream) -> None:
-    """Have the connection reset when it is closed; what the caller has not taken is dropped."""
+    """Make closing the stream reset the connection, discarding unsent data."""
     with suppress(OSError):
         stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
@@ -297,7 +298,10 @@
 
 
 def _framing_error(headers: Headers) -> str | None:
-    """What makes the end of a body ambiguous: a request could hide in another's body."""
+    """Return why the end of the body is ambiguous, or None if it is not.
+
+    With ambiguous framing a request could be smuggled in the body of another one.
+    """
     if header_value(headers, b"transfer-encoding") is None:
         return None
     if content_length(headers) is None:
--- a/src/wagtailpoint/proxy/caller_exchange.py
+++ b/src/wagtailpoint/proxy/caller_exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller and the reply to it, which waits for the replies to those before it."""
+"""A caller's request and its reply, which is sent after the replies to all earlier requests."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from http import HTTPStatus
@@ -14,22 +14,23 @@
 from wagtailpoint.routing.table import CallerBounds
 
 WRITE_TIMEOUT_S: Final = 20.0
-"""A caller that takes nothing of a reply for so long is given up: longer than any deadline."""
+"""The connection is closed if the caller does not accept a part of the reply within this time. No
+request has a longer deadline."""
 
 BODILESS_STATUSES: Final = (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
-"""Responses that never bear a body."""
+"""Statuses of responses that never have a body."""
 
 SAFE_METHODS: Final = ("GET", "HEAD")
 
 
 class IncomingRequest(NamedTuple):
-    """The head of a request as it arrived.
+    """The head of a received request.
 
     Attributes:
         method: For example ``GET``.
-        target: Path and query as they were written.
-        headers: All headers, names in lower case.
-        arrived_at: When the head was complete, by trio's clock.
+        target: Path and query as received.
+        headers: All headers, with names in lower case.
+        arrived_at: Trio time at which the head was complete, in seconds.
     """
 
     method: str
@@ -39,11 +40,11 @@
 
 
 class ReadBody(NamedTuple):
-    """A request's body.
+    """A request body that was read up to a size limit.
 
     Attributes:
-        read: What was read ahead.
-        rest: The rest as it arrives; None if ``read`` is the whole body.
+        read: The part that has been read.
+        rest: The rest as it arrives; None if ``read`` is the complete body.
     """
 
     read: bytes
@@ -51,10 +52,10 @@
 
 
 class CallerExchange:
-    """One request and its reply.
+    """Reads the body of one request and sends its reply.
 
-    It has a parser of its own: h11 parses no further request before the reply to the last one is
-    out, but those that a caller sends ahead are served at the same time.
+    Each exchange has a separate parser, since an h11 parser accepts no further request before the
+    reply to the previous one was sent, but pipelined requests are served concurrently.
     """
 
     def __init__(
@@ -68,16 +69,16 @@
         closes_after: Callable[["CallerExchange"], bool],
         previous: "CallerExchange | None",
     ) -> None:
-        """Begin to serve a request whose head was read.
+        """Initialise the exchange of a request whose head has been parsed.
 
         Args:
-            request: Its head.
-            parser: Has parsed the head, and nothing behind it.
-            incoming: Where its body comes from.
-            stream: Where its reply goes to.
-            bounds: What callers may send.
-            closes_after: Whether the connection shall end with the reply to this exchange.
-            previous: The request before it on the connection; None if it is the first.
+            request: The head of the request.
+            parser: The parser that has parsed the head and nothing after it.
+            incoming: The input of the connection, from which the body is read.
+            stream: The stream to which the reply is sent.
+            bounds: Returns the limits on callers' requests.
+            closes_after: Returns whether the connection must end with the reply to this exchange.
+            previous: The exchange before this one on the connection; None for the first.
         """
         self._request = request
         self._parser = parser
@@ -93,8 +94,8 @@
         self._finished = trio.Event()
         self._waited_s = 0.0
         if not self._has_body:
-            # Until its end was asked for, the request counts as not read, and its connection would
-            # be closed with the reply.
+            # The parser reports the end of the request only when asked for the next event. Without
+            # this the request would count as unread, and the reply would close the connection.
             self._next_event()
 
     @property
@@ -104,38 +105,38 @@
 
     @property
     def is_safe(self) -> bool:
-        """Whether it may be served while others on the connection are (RFC 9112, section 9.3.2)."""
+        """Whether the request may be served concurrently with others (RFC 9112, section 9.3.2)."""
         return self._request.method in SAFE_METHODS and not self._has_body
 
     @property
     def is_replied(self) -> bool:
-        """Whether the whole reply is out."""
+        """Whether the complete reply was sent."""
         return self._parser.our_state in (h11.DONE, h11.MUST_CLOSE)
 
     @property
     def can_be_followed(self) -> bool:
-        """Whether another request may come behind it on the connection."""
+        """Whether another request may follow on the connection."""
         return self._parser.their_state is h11.DONE and self._parser.our_state is not h11.MUST_CLOSE
 
     @property
     def is_http_1_0(self) -> bool:
-        """Whether the caller speaks HTTP/1.0, where the end of a connection may end a body."""
+        """Whether the caller uses HTTP/1.0, where the end of the connection may end a body."""
         return self._parser.their_http_version == b"1.0"
 
     @property
     def waited_s(self) -> float:
-        """How long the reply waited for those before it, in seconds."""
+        """Time for which the reply waited for the replies before it, in seconds."""
         return self._waited_s
 
     async def wait_request_read(self) -> None:
-        """Wait until the request was read to its end, or its reply is over."""
+        """Wait until the request was read to its end or the exchange has ended."""
         await self._request_read.wait()
 
     async def wait_turn(self) -> None:
-        """Wait until the requests before it have their replies.
+        """Wait until all earlier requests on the connection have been replied to.
 
         Raises:
-            CallerGone: One of them broke off, so that nothing may follow.
+            CallerGone: An earlier reply was not completed, so that none may follow.
         """
         if self._previous is None:
             return
@@ -147,16 +148,16 @@
         self._previous = None
 
     def mark_finished(self) -> None:
-        """Its reply is out, or never will be."""
+        """Mark the exchange as ended, with or without a complete reply."""
         self._request_read.set()
         self._finished.set()
 
     async def read_body(self, max_bytes: int) -> ReadBody:
-        """Read the request's body ahead, up to a size.
+        """Read the request body up to ``max_bytes``, leaving a longer rest to be streamed.
 
         Raises:
             CallerGone: The caller closed the connection.
-            BodyBroken: The body breaks HTTP.
+            h11.RemoteProtocolError: The body violates HTTP or exceeds the caller bounds.
         """
         if not self._has_body:
             return ReadBody(b"", None)
@@ -172,7 +173,7 @@
         return ReadBody(bytes(parts), None)
 
     async def reply(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole reply; ``headers`` without any framing."""
+        """Send a complete reply; ``headers`` must not contain framing headers."""
         await self.wait_turn()
         length = (b"content-length", str(len(body)).encode())
         head = self._encode_head(status, [*headers, length])
@@ -180,37 +181,37 @@
         await self._write(head + data + (self._parser.send(h11.EndOfMessage()) or b""))
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """Send the head of a reply whose body follows in parts."""
+        """Send the head of a reply whose body is sent with ``send`` and ``finish``."""
         await self.wait_turn()
         await self._write(self._encode_head(status, headers))
 
     async def send(self, data: bytes) -> None:
-        """Send a part of the body."""
+        """Send a part of the reply's body."""
         await self._write(self._encode_data(data))
 
     async def finish(self) -> None:
-        """End the body: from here on the reply is whole."""
+        """End the body, which completes the reply."""
         await self._write(self._parser.send(h11.EndOfMessage()) or b"")
 
     async def reply_with_error(self, status: HTTPStatus, body: bytes) -> None:
-        """Reply with a failure of our own.
+        """Reply with an error that this instance caused.
 
         Raises:
-            CallerGone: Another reply has begun, and can only be broken off.
+            CallerGone: Another reply has begun and can't be replaced.
         """
         if self._parser.our_state is not h11.SEND_RESPONSE:
             raise CallerGone
         await self.reply(status, (), body)
 
     async def refuse(self, status: HTTPStatus, reason: str) -> None:
-        """Reply to what can't be served as it is, and end the connection with that."""
+        """Refuse an invalid request and end the connection after the reply."""
         log_event("request-refused", status=status.value, reason=reason)
         await self.wait_turn()
         await send_refusal(self._parser, self._write, status, reason)
 
     def _encode_head(self, status: int, headers: Headers) -> bytes:
         sent = list(headers)
-        # What was not read of a body would stand before the next request.
+        # The unread rest of a body would be parsed as the next request.
         if self._parser.their_state is h11.SEND_BODY or self._closes_after(self):
             sent.append((b"connection", b"close"))
         self._reply_has_body = self._request.method != "HEAD" and status not in BODILESS_STATUSES
@@ -229,7 +230,7 @@
                 self._body_bytes += len(event.data)
                 if self._body_bytes > max_bytes:
                     raise h11.RemoteProtocolError(
-                        f"a body of more than {max_bytes} bytes",
+                        f"request body exceeds the limit of {max_bytes} bytes",
                         error_status_hint=HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
                     )
                 yield bytes(event.data)
@@ -239,7 +240,7 @@
     def _next_event(self) -> Any:
         event = next_event(self._parser, self._incoming)
         if isinstance(event, h11.EndOfMessage):
-            # What stands behind belongs to the next request, which has a parser of its own.
+            # Further bytes belong to the next request, which is parsed by another parser.
             self._incoming.push_back(self._parser.trailing_data[0])
             self._request_read.set()
         return event
@@ -255,7 +256,7 @@
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
             raise CallerGone from error
         finally:
-            # Nothing may follow what was sent of a part, whatever ended it.
+            # After a partial write, also a cancelled one, nothing further may be sent.
             if not sent_whole:
                 self._incoming.mark_closed()
         if not sent_whole:
@@ -263,7 +264,7 @@
 
 
 def next_event(parser: h11.Connection, incoming: CallerInput) -> Any:
-    """The next event of a parser, fed with what has arrived."""
+    """Return the next event of a parser after feeding it the received data."""
     event = parser.next_event()
     while event is h11.NEED_DATA and not incoming.is_empty:
         parser.receive_data(incoming.take())
@@ -277,10 +278,10 @@
     status: HTTPStatus,
     reason: str,
 ) -> None:
-    """Send a refusal that ends the connection, unless another reply has begun.
+    """Send a refusal that ends the connection.
 
     Raises:
-        CallerGone: It could not be sent; a reply that has begun can't be replaced.
+        CallerGone: Another reply has begun and can't be replaced.
     """
     if parser.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
         raise CallerGone
--- a/src/wagtailpoint/proxy/caller_input.py
+++ b/src/wagtailpoint/proxy/caller_input.py
@@ -1,4 +1,4 @@
-"""What has arrived on a caller's connection and has not been parsed yet."""
+"""The receive buffer of a caller's connection."""
 
 from typing import Final
 
@@ -6,18 +6,18 @@
 
 READ_BYTES: Final = 64 * 1024
 MAX_UNREAD_BYTES: Final = 256 * 1024
-"""So much of what a caller sends ahead is held; then the connection is read no further."""
+"""The connection is not read further while this number of bytes waits to be parsed."""
 
 
 class CallerGone(Exception):
-    """The caller closed the connection."""
+    """The caller closed the connection, or a reply on it could not be completed."""
 
 
 class CallerInput:
-    """Bytes of a connection, read for as long as it is open, also while a request is served.
+    """Buffers the input of a connection, which is read also while a request is served.
 
-    A server that stops reading while a reply is under way would see a caller's close only after the
-    reply, and have the backend server work on for nobody.
+    A server that stopped reading until the reply was sent would detect a close only then, and the
+    backend server would keep working on a request whose caller has left.
     """
 
     def __init__(self) -> None:
@@ -28,35 +28,35 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether the caller closed the connection, or a reply to it broke off."""
+        """Whether the caller closed the connection or a reply on it was not completed."""
         return self._closed
 
     @property
     def is_empty(self) -> bool:
-        """Whether all that arrived was taken."""
+        """Whether the buffer is empty."""
         return not self._unread
 
     def take(self) -> bytes:
-        """Take all that has arrived."""
+        """Remove and return all buffered data."""
         data = bytes(self._unread)
         self._unread.clear()
         self._room_available.set()
         return data
 
     def push_back(self, data: bytes) -> None:
-        """Put back what stands behind the end of a request."""
+        """Put data received after the end of a request back to the front of the buffer."""
         self._unread[:0] = data
 
     def mark_closed(self) -> None:
-        """Nothing more will come."""
+        """Record that no further data will arrive."""
         self._closed = True
         self._data_arrived.set()
 
     async def wait_for_data(self) -> None:
-        """Wait until there is something to take.
+        """Wait until the buffer has data.
 
         Raises:
-            CallerGone: Nothing more will come.
+            CallerGone: The buffer is empty and no further data will arrive.
         """
         while not self._unread:
             if self._closed:
@@ -65,7 +65,7 @@
             await self._data_arrived.wait()
 
     async def read_from(self, stream: trio.SocketStream) -> None:
-        """Read until the caller closes the connection."""
+        """Read from the stream until the caller closes the connection."""
         while True:
             while len(self._unread) >= MAX_UNREAD_BYTES:
                 self._room_available = trio.Event()
--- a/src/wagtailpoint/proxy/caller_server.py
+++ b/src/wagtailpoint/proxy/caller_server.py
@@ -1,4 +1,4 @@
-"""Listens for callers: accepts connections, within bounds, until it is told to stop."""
+"""The server that accepts callers' connections on one address."""
 
 from collections.abc import Callable
 from functools import partial
@@ -15,7 +15,7 @@
 
 
 class CallerServer:
-    """One listening address and its connections."""
+    """Accepts callers' connections on one listening address, up to a maximum number."""
 
     def __init__(
         self,
@@ -26,14 +26,16 @@
         is_leaving: Callable[[], bool],
         max_connections: int,
     ) -> None:
-        """Make a server that does not listen yet.
+        """Initialise a server that does not listen yet.
 
         Args:
-            endpoint: Where it listens.
+            endpoint: The listening address.
             handler: Serves one request.
-            bounds: What callers may send.
-            is_leaving: Whether callers shall not use their connections again.
-            max_connections: Beyond so many the one that rests is closed, or the new one.
+            bounds: Returns the limits on callers' requests.
+            is_leaving: Returns whether the instance is stopping, so that callers should not use
+                their connections for further requests.
+            max_connections: Maximum number of open connections. A new connection beyond that
+                replaces an idle one, or is closed if there is none.
         """
         self._endpoint = endpoint
         self._handler = handler
@@ -45,17 +47,17 @@
 
     @property
     def connections(self) -> int:
-        """Open connections."""
+        """The number of open connections."""
         return len(self._connections)
 
     def stop_accepting(self) -> None:
-        """Close the listening socket, and the connections that rest."""
+        """Close the listening socket and all idle connections."""
         self._accepting.cancel()
         for connection in list(self._connections):
             connection.close_if_idle()
 
     async def run(self, *, task_status: trio.TaskStatus[Any] = trio.TASK_STATUS_IGNORED) -> None:
-        """Serve until ``stop_accepting``, and then until the last connection has ended."""
+        """Serve connections until ``stop_accepting`` was called and the last one has ended."""
         listeners = await trio.open_tcp_listeners(
             self._endpoint.port, host=self._endpoint.address, backlog=BACKLOG
         )
@@ -80,7 +82,7 @@
         self._connections.add(connection)
         try:
             await connection.run()
-        except Exception as error:  # noqa: BLE001 - one connection's fault must not end the others
+        except Exception as error:  # noqa: BLE001 - one connection's error must not end the others
             log_event("internal-error", level="ERROR", where="connection", error=repr(error))
         finally:
             self._connections.discard(connection)
--- a/src/wagtailpoint/proxy/connection_warm_up.py
+++ b/src/wagtailpoint/proxy/connection_warm_up.py
@@ -1,4 +1,4 @@
-"""Connections to far backend servers that stand ready when the first requests come."""
+"""Opens connections to remote backend servers before the first requests need them."""
 
 from collections.abc import Callable, Iterable
 from random import Random
@@ -12,24 +12,27 @@
 from wagtailpoint.rendezvous import rendezvous_score
 
 WARM_UP_DURATION_S: Final = 15.0
-"""So long after the start connections are kept ready: callers may come at once, as after a restart,
-or within seconds, as when a whole deployment starts. Later requests themselves keep some open."""
+"""Time after the start for which connections are kept open. Callers send requests at once after a
+restart, or within seconds when a whole deployment starts. Later, the requests themselves keep
+connections open."""
 
 WARM_UP_DELAY_S: Final = 1.0
-"""So long after the start an instance has met the others. Until then each takes itself for the one
-that callers are told to use."""
+"""Time within which a new instance discovers other members. Until then every instance takes itself
+for an entry."""
 
 CHECK_INTERVAL_S: Final = 0.5
 
 MAX_WARM_SERVERS: Final = 64
-"""Backend servers to which connections are kept ready. In a large deployment an instance uses each
-of hundreds now and then, and most of these connections would close unused."""
+"""Maximum number of backend servers to which connections are kept open. In a large deployment an
+instance uses each of hundreds of backend servers only occasionally, and most of the connections
+would be closed unused."""
 
 
 class ConnectionWarmUp:
-    """Keeps a connection ready to each far backend server for a while after the start.
+    """Keeps an idle connection to each remote backend server for a while after the start.
 
-    A request that has to open its own waits a round trip more, which may be most of its objective.
+    A request that opens its own connection waits for one more round trip, which may be most of its
+    latency objective.
     """
 
     def __init__(
@@ -41,14 +44,15 @@
         is_entry: Callable[[], bool],
         random: Random,
     ) -> None:
-        """Make it.
+        """Initialise the warm-up.
 
         Args:
-            entries: The backend servers.
-            pool: Opens and keeps the connections.
-            distances: Which of them are far.
-            is_entry: Whether callers are told to use this instance: nobody else needs any.
-            random: Chooses some of very many.
+            entries: Returns the backend servers.
+            pool: Opens the connections and keeps them.
+            distances: Gives the round trip times.
+            is_entry: Returns whether lookups direct callers to this instance; other instances need
+                no connections.
+            random: Seeds the selection if there are more than ``MAX_WARM_SERVERS``.
         """
         self._entries = entries
         self._pool = pool
@@ -57,7 +61,7 @@
         self._seed = str(random.random())
 
     async def run(self) -> None:
-        """Keep connections ready until some time after the start."""
+        """Keep connections open until the end of the warm-up."""
         end = trio.current_time() + WARM_UP_DURATION_S
         await trio.sleep(WARM_UP_DELAY_S)
         async with trio.open_nursery() as nursery:
@@ -69,7 +73,7 @@
     def _without_spare(self) -> list[ServerEntry]:
         far = [entry for entry in self._entries() if self._is_far(entry) and not entry.draining]
         if len(far) > MAX_WARM_SERVERS:
-            # The same ones each time, as far as they are still there.
+            # Selects the same backend servers at each check, as long as they exist.
             far.sort(key=lambda entry: rendezvous_score(self._seed, entry.server_id))
             far = far[:MAX_WARM_SERVERS]
         return [entry for entry in far if not self._pool.has_spare(entry)]
--- a/src/wagtailpoint/proxy/dispatcher.py
+++ b/src/wagtailpoint/proxy/dispatcher.py
@@ -1,4 +1,4 @@
-"""One request from its head to the end of its reply: route, sends, verdict, answer, log line."""
+"""Dispatches callers' requests: routing, access checks, sends to backend servers, reply and log."""
 
 import re
 from collections.abc import Callable
@@ -33,27 +33,28 @@
 from wagtailpoint.verdict import Verdict
 
 READ_AHEAD_BYTES = 256 * 1024
-"""A body up to this size is read before anything is sent, and can be sent again."""
+"""A body up to this size is read before the request is sent, so that it can be sent again."""
 
 DEADLINE_PATTERN = re.compile(rb"[0-9]{1,12}(\.[0-9]{1,6})?")
 
 ALLOWANCE_WAIT_FRACTION = 0.1
-"""A request waits for the next token of its workspace up to this part of its objective."""
+"""Maximum wait for the next token of the workspace, as a fraction of the route's latency objective.
+"""
 
 MAX_LOGGED_AGE_S = 999.0
-"""In log lines, for reports that never came."""
+"""Logged as the age of load reports that were never received."""
 
 
 class Allowances(Protocol):
-    """What workspaces may send, over all instances."""
+    """The request allowances of workspaces, which all instances share."""
 
     async def spend(self, workspace: str) -> SpendResult:
-        """Count a request."""
+        """Count a request against the allowance of a workspace."""
         ...
 
 
 class Dispatcher:
-    """Serves requests."""
+    """Serves callers' requests by sending them to backend servers."""
 
     def __init__(
         self,
@@ -67,17 +68,17 @@
         metrics: Metrics,
         random: Random,
     ) -> None:
-        """Make it.
+        """Initialise the dispatcher.
 
         Args:
-            table: The routes in force; None before there are any.
+            table: Returns the route table in force; None before a configuration is known.
             sender: Sends requests to backend servers.
-            quarantine: Which requests must not be sent.
-            key_check: Whose a request is, and whether it may run.
-            allowances: What workspaces may send.
+            quarantine: Tells which requests must not be sent.
+            key_check: Finds the workspace of a request and whether it may run.
+            allowances: The request allowances of workspaces.
             names: The deployment's header names.
-            metrics: Counts and latencies.
-            random: Spreads the times to come back.
+            metrics: Receives counts and latencies.
+            random: The source of jitter for ``Retry-After`` and of service choices.
         """
         self._table = table
         self._sender = sender
@@ -93,7 +94,7 @@
 
     @property
     def open_requests(self) -> int:
-        """Requests that have not been answered."""
+        """The number of requests that have not been replied to."""
         return self._open_requests
 
     async def wait_idle(self) -> None:
@@ -103,7 +104,7 @@
             await self._idle.wait()
 
     async def handle(self, request: IncomingRequest, caller: CallerExchange) -> None:
-        """Reply to a request."""
+        """Serve a request and send its reply."""
         self._open_requests += 1
         try:
             await self._handle(request, caller)
@@ -151,7 +152,8 @@
         answered = False
         try:
             outcome = await self._serve(context, caller)
-            # A backend server that gave up at the deadline may not have come to what crashes it.
+            # A 504 does not clear a crash suspect: the backend server may have stopped at the
+            # deadline before it reached the code that crashes.
             late = outcome.status == HTTPStatus.GATEWAY_TIMEOUT
             answered = outcome.verdict is Verdict.RAN and not late
         except trio.Cancelled:
@@ -165,7 +167,8 @@
     async def _serve(self, context: RequestContext, caller: CallerExchange) -> Outcome:
         self._sender.record_request(context)
         if not context.route.idempotent:
-            # A caller sends again what stands behind a reply that ends the connection.
+            # Callers resend requests that follow a reply which ended the connection, so a
+            # non-idempotent request must not run before the earlier replies were sent.
             await caller.wait_turn()
         if not await self._read_body(context, caller):
             await caller.reply(HTTPStatus.REQUEST_TIMEOUT, (), b"the body came too slowly\n")
@@ -193,7 +196,7 @@
                 refusal = await self._spend_allowance(context)
                 if refusal is not None:
                     return await self._give_up(context, caller, refusal)
-                # What was chosen may have changed since.
+                # The choice may be outdated after the wait for the allowance.
                 continue
             outcome = await self._sender.send(context, chosen, caller)
             if outcome is not None:
@@ -204,7 +207,7 @@
                 )
 
     def _refusal(self, context: RequestContext) -> Refusal | None:
-        """Why a request must not be sent now; None if it may."""
+        """Return the refusal of a request that must not be sent now, or None if it may be sent."""
         admission = self._quarantine.admission(context.fingerprint)
         if admission is not Admission.ADMITTED:
             return self._refusals.crashing(admission, context.remaining_s)
@@ -218,7 +221,11 @@
         return self._refusals.no_room(reason, context.remaining_s)
 
     async def _spend_allowance(self, context: RequestContext) -> Refusal | None:
-        """Count a request against its workspace's allowance; it may wait a little for that."""
+        """Count a request against its workspace's allowance, after a short wait if necessary.
+
+        Returns:
+            The refusal if the allowance is used up or unknown, otherwise None.
+        """
         spent = await self._allowances.spend(context.workspace_name)
         if (
             not spent.granted
@@ -249,7 +256,7 @@
         )
 
     async def _read_body(self, context: RequestContext, caller: CallerExchange) -> bool:
-        """Read the body ahead; False if the caller does not send it within the deadline."""
+        """Read the body ahead; return False if it does not arrive before the deadline."""
         if not has_body(context.request.headers):
             return True
         with trio.move_on_at(context.deadline):
@@ -260,7 +267,7 @@
     async def _give_up(
         self, context: RequestContext, caller: CallerExchange, refusal: Refusal
     ) -> Outcome:
-        """The final answer, at once, of a request that got none from a backend server."""
+        """Send the final reply to a request that no backend server answered successfully."""
         if context.failed_reply is not None:
             await caller.reply(
                 context.failed_reply.status, context.failed_reply.headers, context.failed_reply.body
@@ -274,7 +281,7 @@
         return Outcome(status, refusal.reason, context.verdict)
 
     def _timeout_s(self, request: IncomingRequest, route: HostRoute) -> float:
-        """The shorter of the caller's remaining time and the route's timeout, in seconds."""
+        """Return the shorter of the caller's remaining time and the route's timeout, in seconds."""
         value = header_value(request.headers, self._names.deadline_ms)
         if value is None or not DEADLINE_PATTERN.fullmatch(value):
             return route.timeout_s
@@ -331,7 +338,7 @@
 
 
 def _choice_log_fields(choice: Choice | None) -> dict[str, Any]:
-    """What a choice was made by, for the log."""
+    """Return the log fields that describe the choice of a backend server."""
     if choice is None:
         return {}
     return {
--- a/src/wagtailpoint/proxy/headers.py
+++ b/src/wagtailpoint/proxy/headers.py
@@ -1,4 +1,4 @@
-"""Headers of requests and responses, independent of how a deployment names its own."""
+"""Reading and filtering of HTTP headers, and the configurable names of a deployment's headers."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -22,17 +22,17 @@
 
 
 class HeaderNames(NamedTuple):
-    """What a deployment calls its own headers, in lower case.
+    """The names of a deployment's own headers, in lower case.
 
     Attributes:
-        request_id: The caller's id of a request; a backend server repeats it in its response.
-        deadline_ms: Milliseconds until the caller gives up.
-        affinity: The same for requests that concern the same object.
-        expected_server: The id of the backend server that a request is meant for.
-        load: A backend server's running and waiting requests and its slots.
-        not_run: In a response: the backend server did not run the request.
-        cold_ms: How much longer a backend server stays cold, in milliseconds.
-        workspace: Tells a backend server whose request it is; what a caller sends there is dropped.
+        request_id: The caller's id of a request; a backend server echoes it in its response.
+        deadline_ms: The time until the caller's deadline, in milliseconds.
+        affinity: The affinity key, equal for requests that concern the same object.
+        expected_server: The id of the backend server to which a request is sent.
+        load: A backend server's load report: running requests, waiting requests and slots.
+        not_run: Present in a response if the backend server did not run the request.
+        cold_ms: The time for which a backend server stays cold, in milliseconds.
+        workspace: The workspace of a request, for backend servers; a caller's value is dropped.
     """
 
     request_id: bytes
@@ -46,14 +46,14 @@
 
 
 def header_value(headers: Headers, name: bytes) -> bytes | None:
-    """The value of a header, by its name in lower case; None if it is absent."""
+    """Return the first value of a header, given its name in lower case; None if it is absent."""
     return next((value for key, value in headers if key == name), None)
 
 
 def end_to_end_headers(
     headers: Headers, also_drop: Iterable[bytes] = ()
 ) -> list[tuple[bytes, bytes]]:
-    """The headers without those of one connection (RFC 9110, section 7.6.1) and of framing."""
+    """Return the headers without hop-by-hop (RFC 9110, section 7.6.1) and framing headers."""
     dropped = HOP_BY_HOP | FRAMING_HEADERS | frozenset(also_drop)
     for name, value in headers:
         if name == b"connection":
@@ -62,7 +62,7 @@
 
 
 def content_length(headers: Headers) -> int | None:
-    """The length that a message promises; None if it does not say one."""
+    """Return the value of ``Content-Length``; None if it is absent or not a number."""
     value = header_value(headers, b"content-length")
     return int(value) if value is not None and value.isdigit() else None
 
@@ -73,5 +73,5 @@
 
 
 def header_text(value: bytes | None) -> str:
-    """The value of a header as text; empty if it is absent."""
+    """Decode a header value; return an empty string if it is None."""
     return value.decode("latin-1") if value is not None else ""
--- a/src/wagtailpoint/proxy/key_check.py
+++ b/src/wagtailpoint/proxy/key_check.py
@@ -1,4 +1,4 @@
-"""Checks the key of a request, at its arrival and again before each send."""
+"""Checks the API key of a request at its arrival and again before each send."""
 
 from collections.abc import Callable
 
@@ -9,20 +9,20 @@
 
 
 class KeyCheck:
-    """Decides by the configuration of the moment, and by whether that is proved.
+    """Checks API keys against the configuration in force.
 
-    A key may be taken away while a request waits, or while this process does not run; so the check
-    belongs in the same step as the send.
+    A key may be revoked while a request waits or while this process is suspended. The check must
+    therefore be made immediately before the send, without waiting in between.
     """
 
     def __init__(
         self, *, table: Callable[[], RouteTable | None], is_proved: Callable[[], bool]
     ) -> None:
-        """Make it.
+        """Initialise the check.
 
         Args:
-            table: The configuration in force.
-            is_proved: Whether it was the newest a short time ago.
+            table: Returns the route table of the configuration in force.
+            is_proved: Returns whether that configuration was recently confirmed to be the newest.
         """
         self._table = table
         self._is_proved = is_proved
@@ -30,12 +30,12 @@
     def access(
         self, table: RouteTable, route: HostRoute, key: bytes | None
     ) -> WorkspacePolicy | AccessRefusal | None:
-        """The workspace of a request, None if it needs no key, or why it may not run."""
+        """Return a request's workspace, None if it needs no key, or the reason to refuse it."""
         needs_key = table.workspaces is not None and not route.public
         return check_access(table, route, key, proved=not needs_key or self._is_proved())
 
     def refusal(self, context: RequestContext) -> AccessRefusal | None:
-        """Why a request that was admitted may not be sent now; None if it may."""
+        """Return why an admitted request must not be sent now; None if it may be sent."""
         found = self.access(self._table() or context.table, context.route, context.key)
         if isinstance(found, AccessRefusal):
             return found
--- a/src/wagtailpoint/proxy/reachability_probe.py
+++ b/src/wagtailpoint/proxy/reachability_probe.py
@@ -1,4 +1,4 @@
-"""Opens a connection to backend servers that could not be reached, before requests go there."""
+"""Probes unreachable backend servers by opening connections before requests are sent there."""
 
 from random import Random
 from typing import Final
@@ -14,30 +14,30 @@
 
 
 class ReachabilityProbe:
-    """Tries backend servers that have rested after a failure to reach them.
+    """Opens connections to backend servers whose pause after a failure to reach them is over.
 
-    Without it requests are what tries them: each instance lost one to each dead server in every
-    half second to four.
+    Without the probe, requests would be sent to find out whether they are reachable: each instance
+    would lose one request to each dead backend server every 0.5 to 4 s.
     """
 
     def __init__(self, *, placement: Placement, pool: BackendPool, random: Random) -> None:
-        """Make it.
+        """Initialise the probe.
 
         Args:
-            placement: Knows who rests.
-            pool: Opens the connections, and keeps them for requests.
-            random: For the jitter.
+            placement: Tells which backend servers to probe, and records the results.
+            pool: Opens the connections and keeps them for requests.
+            random: The source of jitter.
         """
         self._placement = placement
         self._pool = pool
         self._random = random
 
     async def run(self) -> None:
-        """Try them until cancelled."""
+        """Probe unreachable backend servers until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 for entry in self._placement.servers_to_probe():
-                    # Until the outcome is known it must not be tried twice.
+                    # Marked as unreachable first, so that it is not probed twice at a time.
                     self._placement.record_unreachable(entry)
                     nursery.start_soon(self._probe, entry)
                 await trio.sleep(CHECK_INTERVAL_S * self._random.uniform(0.8, 1.2))
--- a/src/wagtailpoint/proxy/refusal.py
+++ b/src/wagtailpoint/proxy/refusal.py
@@ -1,4 +1,4 @@
-"""Answers to requests that were not run: which status, and when to come back."""
+"""Replies to requests that were not run, with their statuses and ``Retry-After`` times."""
 
 import math
 from http import HTTPStatus
@@ -14,30 +14,32 @@
 from wagtailpoint.verdict import Verdict
 
 NO_ROOM_RETRY_AFTER_S: Final = 0.2
-"""When a refused caller may come back: about two service times later some slots have changed."""
+"""``Retry-After`` if no backend server has room: some slots are free about two service times later.
+"""
 
 STARTING_RETRY_AFTER_S: Final = 0.5
 
 UNVERIFIED_RETRY_AFTER_S: Final = 1.0
-"""The same for one whose key can't be vouched for, or whose workspace is over its allowance: what
-it waits for comes within about a second, and most callers come back only once."""
+"""``Retry-After`` if the key can't be verified or the workspace is over its allowance. Confirmation
+or tokens usually arrive within about 1 s, and most callers retry only once."""
 
 QUARANTINED_RETRY_AFTER_S: Final = 60.0
-"""A request that crashes backend servers will not be served before somebody has mended them."""
+"""``Retry-After`` for quarantined requests, which are refused until the backend servers are fixed.
+"""
 
 RETRY_AFTER_FRACTION: Final = 1 / 3
-"""Callers honour a time to come back up to this part of what they have left."""
+"""Callers honour a ``Retry-After`` up to this fraction of the time left until their deadline."""
 
 CHALLENGE: Final = (b"www-authenticate", b"Bearer")
 
 
 class Refusal(NamedTuple):
-    """An answer that says that a request was not run.
+    """A reply which states that a request was not run.
 
     Attributes:
-        status: The status.
-        reason: One word for the caller, logs and metrics.
-        retry_after_s: When it may come again, in seconds; None if that would not help.
+        status: The status of the reply.
+        reason: A short code for the caller, logs and metrics.
+        retry_after_s: Seconds after which the caller may retry; None if a retry would not help.
     """
 
     status: HTTPStatus
@@ -46,37 +48,37 @@
 
     @property
     def headers(self) -> Headers:
-        """The headers of the answer."""
+        """The headers of the reply."""
         if self.retry_after_s is not None:
             return [(b"retry-after", f"{self.retry_after_s:.3f}".encode())]
         return [CHALLENGE] if self.status is HTTPStatus.UNAUTHORIZED else []
 
     async def send(self, caller: CallerExchange) -> Outcome:
-        """Send the answer."""
+        """Send the reply and return the outcome."""
         await caller.reply(self.status, self.headers, f"not run: {self.reason}\n".encode())
         return Outcome(self.status, self.reason, Verdict.NOT_RUN)
 
 
 class RefusalFactory:
-    """Makes refusals; the times to come back are spread, so that callers don't come together."""
+    """Creates refusals with jittered ``Retry-After`` times, which spread callers' retries."""
 
     def __init__(self, *, random: Random) -> None:
-        """Make it.
+        """Initialise the factory.
 
         Args:
-            random: Spreads the times.
+            random: The source of jitter.
         """
         self._random = random
 
     def starting(self) -> Refusal:
-        """No configuration is known yet."""
+        """Return the refusal used before a configuration is known."""
         return Refusal(HTTPStatus.SERVICE_UNAVAILABLE, "starting", STARTING_RETRY_AFTER_S)
 
     def no_room(self, reason: str, remaining_s: float) -> Refusal:
-        """No backend server takes it.
+        """Return the refusal of a request that no backend server can take.
 
         Args:
-            reason: One word.
+            reason: A short code.
             remaining_s: Seconds until the caller's deadline.
         """
         retry_after_s = max(
@@ -85,13 +87,13 @@
         return Refusal(HTTPStatus.SERVICE_UNAVAILABLE, reason, retry_after_s)
 
     def crashing(self, admission: Admission, remaining_s: float) -> Refusal:
-        """It crashes backend servers, or may."""
+        """Return the refusal of a request that crashes backend servers or is suspected to."""
         if admission is not Admission.QUARANTINED:
             return self.no_room(admission.value, remaining_s)
         return Refusal(HTTPStatus.SERVICE_UNAVAILABLE, admission.value, QUARANTINED_RETRY_AFTER_S)
 
     def no_access(self, refusal: AccessRefusal) -> Refusal:
-        """Its key does not allow it."""
+        """Return the refusal of a request whose key does not permit it."""
         if refusal.is_final:
             return Refusal(HTTPStatus.UNAUTHORIZED, refusal.value, None)
         return Refusal(
@@ -101,7 +103,7 @@
         )
 
     def over_allowance(self, spent: SpendResult, remaining_s: float) -> Refusal:
-        """Its workspace has sent what it may, or nobody can say."""
+        """Return the refusal of a request whose workspace's allowance is used up or unknown."""
         if spent.wait_s == math.inf:
             reason = "allowance-unknown"
             return Refusal(
--- a/src/wagtailpoint/proxy/request_context.py
+++ b/src/wagtailpoint/proxy/request_context.py
@@ -1,4 +1,4 @@
-"""A request on its way: what is known of it, what was tried, what became of it."""
+"""The state of a request while it is dispatched, and its outcome."""
 
 from collections.abc import Sequence
 from typing import Final, NamedTuple
@@ -24,16 +24,16 @@
         FailureReason.CONNECT_TIMEOUT,
     )
 )
-"""With these no byte of the request has left."""
+"""Failures to open a connection: no byte of the request has been sent."""
 
 
 class Outcome(NamedTuple):
-    """What became of a request.
+    """The outcome of a request.
 
     Attributes:
-        status: The status that the caller got.
-        result: One word for logs and metrics.
-        verdict: Whether it may have run.
+        status: The status sent to the caller; 0 if the caller left before a reply.
+        result: A short code for logs and metrics.
+        verdict: Whether the request may have run.
     """
 
     status: int
@@ -42,7 +42,7 @@
 
 
 class Failure(NamedTuple):
-    """A send to a backend server that gave no answer to pass on."""
+    """A send to a backend server that gave no response to forward."""
 
     server_id: str
     verdict: Verdict
@@ -50,20 +50,27 @@
 
 
 class RequestContext:
-    """A request on its way, with what was tried.
+    """The state of a request while it is dispatched.
 
     Attributes:
-        key: The digest of the caller's key; None if it sent none.
-        workspace: Whose request it is; None if callers need no key.
-        allowance_spent: It was counted against the workspace's allowance.
-        tried_servers: Backend servers that it was given to, by id.
-        send_count: Of these, how many may have seen it.
-        failures: The sends that gave no answer to pass on.
-        failed_reply: The last failure of a backend server's own, should there be nothing better.
-        last_choice: The last choice, for the log.
-        load_report: The load that the last answer told, for the log.
-        declined: The backend servers that had no room in the end, for the log.
-        connect_s: How long the sends waited for connections to open, in seconds, for the log.
+        request: The head of the request.
+        table: The route table by which the request is served.
+        route: The route of the request.
+        service: The service chosen from the route.
+        key: The digest of the caller's API key; None if the caller sent none.
+        workspace: The workspace of the request; None if callers need no key.
+        allowance_spent: Whether the request was counted against the workspace's allowance, or needs
+            none.
+        deadline: Trio time by which the reply is due, in seconds.
+        body: The part of the body that was read ahead.
+        tried_servers: The ids of the backend servers chosen for sends so far.
+        send_count: The number of sends that may have reached a backend server.
+        failures: The sends that gave no response to forward.
+        failed_reply: The last error response of a backend server, forwarded if no send succeeds.
+        last_choice: The last chosen backend server, for the log.
+        load_report: The load report of the last response, for the log.
+        declined: The backend servers that had no room at the last choice, for the log.
+        connect_s: The total time spent on opening connections, in seconds, for the log.
     """
 
     def __init__(
@@ -102,7 +109,7 @@
 
     @property
     def fingerprint(self) -> str:
-        """The same for every repeat of the request; to be asked for once its body was read."""
+        """The fingerprint, equal for every retry of the request; valid once the body was read."""
         if not self._fingerprint:
             headers = self.request.headers
             self._fingerprint = fingerprint(
@@ -117,7 +124,7 @@
         return self._fingerprint
 
     def crash_report(self, start: ServerStart) -> CrashReport:
-        """What is told of a backend server that crashed while it had the request."""
+        """Return the report on a backend server that crashed while it had the request."""
         return CrashReport(
             fingerprint=self.fingerprint,
             method=self.request.method,
@@ -128,16 +135,16 @@
 
     @property
     def remaining_s(self) -> float:
-        """Seconds left until the deadline."""
+        """The time left until the deadline, in seconds."""
         return self.deadline - trio.current_time()
 
     @property
     def verdict(self) -> Verdict:
-        """Whether any of the sends may have run."""
+        """``NOT_RUN`` if no failed send can have run, otherwise ``MAY_HAVE_RUN``."""
         if all(each.verdict is Verdict.NOT_RUN for each in self.failures):
             return Verdict.NOT_RUN
         return Verdict.MAY_HAVE_RUN
 
     def record_failure(self, server_id: str, verdict: Verdict, reason: str) -> None:
-        """A send is over without an answer to pass on."""
+        """Record a send that gave no response to forward."""
         self.failures.append(Failure(server_id, verdict, reason))
--- a/src/wagtailpoint/proxy/round_trip_probe.py
+++ b/src/wagtailpoint/proxy/round_trip_probe.py
@@ -1,4 +1,4 @@
-"""Measures how far each failure domain is before requests are sent there."""
+"""Measures the round trip time to each failure domain before requests are sent there."""
 
 from collections.abc import Callable, Iterable
 from random import Random
@@ -11,15 +11,15 @@
 from wagtailpoint.proxy.backend_pool import BackendPool
 
 PROBE_INTERVAL_S: Final = 1.0
-"""Backend servers become known within a second or two of the start, before callers come."""
+"""Backend servers become known within 1 to 2 s of the start, before callers send requests."""
 
 
 class RoundTripProbe:
-    """Opens one connection to each failure domain whose distance is not known.
+    """Opens one connection to each failure domain whose round trip time is not known.
 
-    Without it the first requests would be placed by assumed round trips, and a region that turns
-    out to be near would be given many requests of others all at once, two seconds later: where
-    requests run would shift suddenly. The connections are kept for the first requests.
+    Without these measurements the first requests would be placed by assumed round trip times. Two
+    seconds later, a region found to be nearer than assumed would suddenly receive many requests of
+    other regions. The connections stay in the pool for the first requests.
     """
 
     def __init__(
@@ -31,14 +31,15 @@
         is_entry: Callable[[], bool],
         random: Random,
     ) -> None:
-        """Make it.
+        """Initialise the probe.
 
         Args:
-            entries: The backend servers.
-            pool: Opens and keeps the connections.
-            distances: Learns how long they took.
-            is_entry: Whether callers are told to use this instance: nobody else sends anything.
-            random: Chooses the backend server: one that can't be reached is not asked each time.
+            entries: Returns the backend servers.
+            pool: Opens the connections and keeps them.
+            distances: Records the measured times.
+            is_entry: Returns whether lookups direct callers to this instance; other instances send
+                no requests.
+            random: Chooses the backend server, so that an unreachable one is not chosen each time.
         """
         self._entries = entries
         self._pool = pool
@@ -47,16 +48,17 @@
         self._random = random
 
     async def run(self) -> None:
-        """Measure what is not known, until cancelled."""
+        """Probe failure domains without a measurement until cancelled."""
         while True:
-            # Before the first look, too: who starts is an entry to itself until it meets others.
+            # Also before the first probe: a new instance takes itself for an entry until it has
+            # discovered other members.
             await trio.sleep(PROBE_INTERVAL_S)
             async with trio.open_nursery() as nursery:
                 for entry in self._unmeasured() if self._is_entry() else ():
                     nursery.start_soon(self._pool.open_spare, entry, "distance")
 
     def _unmeasured(self) -> Iterable[ServerEntry]:
-        """One backend server of each failure domain that is not measured."""
+        """Return one backend server of each failure domain without a measurement."""
         by_domain: dict[str, list[ServerEntry]] = {}
         for entry in self._entries():
             if not self._distances.is_measured(entry.failure_domain):
--- a/src/wagtailpoint/proxy/sender.py
+++ b/src/wagtailpoint/proxy/sender.py
@@ -1,4 +1,4 @@
-"""Sends of one request to backend servers: first, again, beside; and the answer passed on."""
+"""Sends requests to backend servers, with retries and hedging, and forwards the responses."""
 
 from collections.abc import AsyncIterator, Callable
 from http import HTTPStatus
@@ -34,24 +34,25 @@
 from wagtailpoint.verdict import Verdict
 
 MAX_CONNECT_FAILURES = 3
-"""Backend servers that may turn out unreachable for one request; no byte of it left then."""
+"""Maximum number of failed connection attempts for a request that has not been sent yet."""
 
 REPLY_MARGIN_S = 0.003
-"""Taken off the deadline that is passed on, so that an answer in the last moment is in time."""
+"""Subtracted from the deadline passed to the backend server, so that a response at that deadline
+still reaches the caller in time."""
 
 MIN_EXCHANGE_S = 0.01
-"""With less time left nothing is sent: it would only be cut off with an unknown outcome."""
+"""Nothing is sent with less time left, as the exchange would be cut off with an unknown outcome."""
 
 HEDGE_DELAY_FRACTION = 0.4
-"""After so much of its remaining time an idempotent request is sent to another backend server too,
-if the first has answered nothing at all since: it may be dead. The first is still waited for, as
-its silence proves nothing."""
+"""Fraction of the remaining time after which an idempotent request is hedged to another backend
+server if the first has answered no request at all since: it may be dead. The first exchange
+continues, since the backend server may also be slow."""
 
 MIN_HEDGE_DELAY_S = 0.15
 
 
 class _HedgedExchange:
-    """The sends of one request that are under way; the first usable answer is passed on."""
+    """The concurrent sends of one request, of which the first usable response is forwarded."""
 
     def __init__(self) -> None:
         self.outcome: Outcome | None = None
@@ -61,7 +62,11 @@
         self.all_ended = trio.Event()
 
     def claim(self, server_id: str) -> bool:
-        """Whether this answer is the first; then the other sends end."""
+        """Claim the reply for a backend server and cancel the other sends.
+
+        Returns:
+            False if another backend server's response is already being forwarded.
+        """
         if self.answered_by is not None:
             return False
         self.answered_by = server_id
@@ -72,7 +77,7 @@
 
 
 class Sender:
-    """Sends requests, and learns from what becomes of them."""
+    """Sends requests to backend servers and records the results."""
 
     def __init__(
         self,
@@ -85,15 +90,15 @@
         key_check: KeyCheck,
         names: HeaderNames,
     ) -> None:
-        """Make it.
+        """Initialise the sender.
 
         Args:
-            takes_work: Whether a backend server may still take new work.
+            takes_work: Returns whether a backend server may receive new requests.
             placement: Chooses backend servers.
-            pool: The connections to them.
-            budget: Repeated sends.
-            quarantine: Learns which requests met crashes, and bounds the sends of these.
-            key_check: Whether a request may still run.
+            pool: The connections to backend servers.
+            budget: The budget for retries and hedged requests.
+            quarantine: Records crashes of backend servers and limits the sends of suspect requests.
+            key_check: Checks whether a request may still run.
             names: The deployment's header names.
         """
         self._takes_work = takes_work
@@ -105,7 +110,7 @@
         self._names = names
 
     def record_request(self, context: RequestContext) -> None:
-        """A request of a caller came."""
+        """Record the arrival of a caller's request."""
         self._budget.record_request(context.service)
         self._placement.record_request(self._make_demand(context))
 
@@ -135,7 +140,7 @@
         )
 
     def may_retry(self, context: RequestContext) -> bool:
-        """Whether another backend server may be tried after the last send."""
+        """Whether the request may be sent to another backend server after a failure."""
         if context.remaining_s < MIN_EXCHANGE_S or context.body.rest is not None:
             return False
         if context.verdict is not Verdict.NOT_RUN and not context.route.idempotent:
@@ -149,7 +154,7 @@
         )
 
     def _can_send_again(self, context: RequestContext) -> bool:
-        """Whether another backend server could be tried beside or after those under way."""
+        """Whether another send is possible, concurrent with or after the current ones."""
         return (
             context.route.idempotent
             and context.send_count < context.route.max_attempts
@@ -161,7 +166,11 @@
     async def send(
         self, context: RequestContext, choice: Choice, caller: CallerExchange
     ) -> Outcome | None:
-        """Send it, and once more beside if the backend server is silent; None if all failed."""
+        """Send a request, and a hedged one if the backend server is silent.
+
+        Returns:
+            The outcome, or None if no send gave a response to forward.
+        """
         hedged = _HedgedExchange()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._run_attempt, hedged, context, choice, caller)
@@ -179,7 +188,7 @@
     def _choose_hedge(
         self, hedged: _HedgedExchange, context: RequestContext, choice: Choice, sent_at: float
     ) -> Choice | None:
-        """Another backend server, if the first is silent and there is budget and room."""
+        """Choose a second backend server if the first is silent and budget and room are left."""
         silent = self._placement.load_of(choice.entry).heard_at < sent_at
         if (
             hedged.all_ended.is_set()
@@ -215,7 +224,7 @@
                 outcome = await self._send_once(hedged, context, choice, caller)
                 if outcome is not None:
                     hedged.outcome = outcome
-        except Exception as error:  # noqa: BLE001 - a nursery would wrap it; raised by its owner
+        except Exception as error:  # noqa: BLE001 - raised by send(); a nursery would wrap it
             hedged.error = error
             for running_scope in hedged.scopes.values():
                 running_scope.cancel()
@@ -224,7 +233,7 @@
             hedged.all_ended.set()
 
     def _hedge_delay_s(self, context: RequestContext) -> float:
-        """How long to wait for a backend server that may be dead."""
+        """Return the time to wait for a response before hedging, in seconds."""
         return max(
             MIN_HEDGE_DELAY_S, HEDGE_DELAY_FRACTION * context.remaining_s, context.route.objective_s
         )
@@ -236,7 +245,7 @@
         choice: Choice,
         caller: CallerExchange,
     ) -> Outcome | None:
-        """Send it once and pass the answer on; None if there is none to pass on."""
+        """Send a request once and forward the response; return None if there is none to forward."""
         entry = choice.entry
         demand = self._make_demand(context)
         context.tried_servers.append(entry.server_id)
@@ -251,7 +260,7 @@
             if not self._takes_work(entry):
                 raise ExchangeFailed(Verdict.NOT_RUN, FailureReason.CONNECT_FAILED, "leaving")
             if self._key_check.refusal(context) is not None:
-                # The key was taken away, or can't be vouched for any more, since the choice.
+                # Since the choice, the key was revoked or can't be verified any more.
                 context.send_count -= 1
                 context.record_failure(entry.server_id, Verdict.NOT_RUN, "withheld")
                 return None
@@ -274,12 +283,13 @@
             self._placement.record_end(entry, underway)
             if connection is not None:
                 await self._pool.release(entry.start, connection)
-        # Only now: a reply that waits for those before it holds neither a slot nor a connection.
+        # Sent after the release, so that a reply waiting for earlier replies on the caller's
+        # connection holds neither a slot nor a connection.
         await caller.reply(reply.status, reply.headers, reply.body)
         return Outcome(reply.status, "answered", Verdict.RAN)
 
     def _is_final(self, context: RequestContext, server_id: str, reply: BackendReply) -> bool:
-        """Whether an answer is passed on, and not replaced by another backend server's."""
+        """Whether a response is to be forwarded; if not, record it as a failure."""
         if reply.not_run:
             moved = reply.status == HTTPStatus.MISDIRECTED_REQUEST
             context.record_failure(server_id, Verdict.NOT_RUN, "misdirected" if moved else "shed")
@@ -325,12 +335,13 @@
         )
 
     async def _record_crash_if_refused(self, context: RequestContext, entry: ServerEntry) -> None:
-        """Take note of a crash if the backend server is gone with the connection.
+        """Record a crash if the backend server refuses connections after a reset.
 
-        A connection alone may end for many reasons; where nobody listens any more, all have.
+        A reset of a single connection has many possible causes. A refused connection shows that the
+        backend server itself has ended.
         """
         if not self._takes_work(entry):
-            # It was leaving.
+            # The backend server is draining, so that its end is no crash.
             return
         failure = await self._pool.open_spare(entry, "crash-check")
         if failure is FailureReason.CONNECT_REFUSED:
--- a/src/wagtailpoint/proxy/shared_retry_budget.py
+++ b/src/wagtailpoint/proxy/shared_retry_budget.py
@@ -1,18 +1,18 @@
-"""The budget of repeated sends that all instances share, spent in parts without any message."""
+"""The retry budget that all instances share; each spends its share without communication."""
 
 from collections.abc import Callable
 from typing import NamedTuple
 
 SAFETY_FRACTION = 0.8
-"""The part of the budget that is spent: instances may be more than are believed to be."""
+"""Fraction of the budget that is spent, since there may be more instances than are known."""
 
 
 class RetryBound(NamedTuple):
-    """What all instances together may send again.
+    """The bound on retries of all instances together.
 
     Attributes:
-        ratio: Repeated sends for each request, over a window,
-        slack: and so many in a window beside that.
+        ratio: Retries allowed per request, over a window.
+        slack: Retries allowed in a window in addition to ``ratio``.
     """
 
     ratio: float
@@ -20,33 +20,35 @@
 
 
 class SharedRetryBudget:
-    """How many sends beyond the first of each request may go to a service.
+    """Limits the sends beyond the first of each request, for each service.
 
-    The deployment allows, over any window, a part of the requests and some slack. This instance
-    earns its part of the former with each of its own requests; its part of the slack can't be
-    earned again but by requests.
+    Over any window, the deployment allows a fraction of the requests and some slack. Each request
+    of this instance adds the allowed fraction of a token. The instance's share of the slack is
+    replenished only by requests.
     """
 
     def __init__(self, *, bound: Callable[[], RetryBound], divisor: Callable[[], float]) -> None:
-        """Make it with half of this instance's slack.
+        """Initialise the budget with half of this instance's share of the slack.
 
-        Half, since a process that is killed and started again would spend it a second time.
+        It starts with half because a process that is killed and restarted would otherwise spend its
+        whole share twice.
 
         Args:
-            bound: Of all instances together, as it is now.
-            divisor: How many parts of this instance's size the slack has; at least 1.
+            bound: Returns the current bound of all instances together.
+            divisor: Returns the number by which the slack is divided to get this instance's share;
+                at least 1.
         """
         self._bound = bound
         self._divisor = divisor
         self._tokens: dict[str, float] = {}
 
     def record_request(self, service: str) -> None:
-        """A request for a service came."""
+        """Record a request for a service, which adds to its budget."""
         earned = SAFETY_FRACTION * self._bound().ratio
         self._tokens[service] = min(self._max_tokens(), self._tokens_of(service) + earned)
 
     def take(self, service: str) -> bool:
-        """Spend one repeated send; False if there is none left."""
+        """Spend one retry; return False if none is available."""
         tokens = self._tokens_of(service)
         if tokens < 1.0:
             return False
@@ -54,7 +56,7 @@
         return True
 
     def available(self, service: str) -> float:
-        """Repeated sends that are left."""
+        """Return the number of retries available for a service."""
         return self._tokens_of(service)
 
     def _tokens_of(self, service: str) -> float:
