--- a/tests/common/steering_parts.py
+++ b/tests/common/steering_parts.py
@@ -1,4 +1,4 @@
-"""Parts of the request path, put together for tests."""
+"""Builders for the parts of the request path used by tests."""
 
 from collections.abc import Awaitable, Callable
 from random import Random
@@ -44,7 +44,7 @@
 
 
 def make_route(name: str = "r", **changes) -> HostRoute:
-    """A route of an idempotent kind to the service ``desk``."""
+    """Return an idempotent route to the service ``desk``."""
     route = HostRoute(
         name=name,
         prefix=f"/{name}/",
@@ -61,14 +61,14 @@
 
 
 def make_table(*routes: HostRoute, version: int = 1) -> RouteTable:
-    """A table with one host, ``h``."""
+    """Return a route table with the host ``h``."""
     ordered = tuple(sorted(routes, key=lambda route: -len(route.prefix)))
     policy = ServicePolicy("desk", "/health", 100, 3.0, 10.0)
     return RouteTable(version, {"h": ordered}, {"desk": policy}, DEFAULT_CALLER_BOUNDS)
 
 
 def make_server(server_id: str, address: BackendAddress | None = None, **changes) -> ServerEntry:
-    """A backend server of ``desk`` in the failure domain ``a-1``."""
+    """Return a backend server of ``desk`` in the failure domain ``a-1``."""
     entry = ServerEntry(
         server_id=server_id,
         service="desk",
@@ -82,12 +82,12 @@
 
 
 def make_distances() -> Distances:
-    """Round trips from the failure domain ``a-1``."""
+    """Return the round trip times from the failure domain ``a-1``."""
     return Distances(failure_domain="a-1", region="a", region_of=REGION_OF)
 
 
 def make_placement(fleet: Fleet, *, instances: int = 1) -> Placement:
-    """A placement of an instance in the failure domain ``a-1``."""
+    """Return the placement of an instance in the failure domain ``a-1``."""
     entries = FixedEntryCounts(everywhere=instances, in_region=instances, in_domain=1)
     return Placement(
         fleet=fleet,
@@ -102,18 +102,18 @@
 
 
 def make_freshness(follower: KindFollower, bound_s: float = 5.0) -> Freshness:
-    """The freshness of what a follower knows, by trio's clock."""
+    """Return the freshness of a follower's state, by trio's clock."""
     return Freshness(
         clock=TrioClock(), version=lambda: follower.state.version, bound_s=lambda: bound_s
     )
 
 
 class CrashReportRecorder:
-    """Keeps what an instance would tell the others of crashes.
+    """Records the crash reports that an instance would send to the other instances.
 
     Attributes:
-        reports: The crashes that requests have met.
-        cleared: The fingerprints of those that were answered after all.
+        reports: The reports on crashes of backend servers.
+        cleared: The fingerprints of suspect requests that were cleared by an answer.
     """
 
     def __init__(self) -> None:
@@ -121,21 +121,21 @@
         self.cleared: list[str] = []
 
     def broadcast_crashes(self, report: CrashReport) -> None:
-        """Keep a report."""
+        """Record a report."""
         self.reports.append(report)
 
     def broadcast_cleared(self, fingerprint: str) -> None:
-        """Keep the fingerprint."""
+        """Record the fingerprint of a cleared request."""
         self.cleared.append(fingerprint)
 
 
 class ScriptedAllowances:
-    """Has as many tokens as a test gives.
+    """Allowances with a number of tokens that the test sets.
 
     Attributes:
-        tokens: What is left, for all workspaces together.
-        wait_s: What is said when there is none.
-        spent: The workspaces of the requests that were counted.
+        tokens: The tokens left for all workspaces together.
+        wait_s: The wait reported when no token is left, in seconds.
+        spent: The workspaces of the counted requests.
     """
 
     def __init__(self) -> None:
@@ -144,7 +144,7 @@
         self.spent: list[str] = []
 
     async def spend(self, workspace: str) -> SpendResult:
-        """Count a request."""
+        """Spend a token for a request."""
         await trio.lowlevel.checkpoint()
         if not self.tokens:
             return SpendResult(False, self.wait_s, "scripted")
@@ -154,17 +154,17 @@
 
 
 class SteeringParts:
-    """A dispatcher with all that it needs, listening on loopback.
+    """A dispatcher with its collaborators, listening on loopback.
 
     Attributes:
         fleet: The backend servers.
-        table: The routes in force.
-        budget: Of repeated sends.
-        placement: The choice of backend servers.
-        quarantine: The requests that crash them.
-        crash_reports: What the others would be told of these.
-        is_proved: Whether the configuration is known to be the newest.
-        allowances: What workspaces may send.
+        table: The route table in force.
+        budget: The shared retry budget.
+        placement: Chooses backend servers.
+        quarantine: The requests that crash backend servers.
+        crash_reports: Records the crash reports sent to other instances.
+        is_proved: Whether the configuration is confirmed to be the newest.
+        allowances: The request allowances of workspaces.
     """
 
     def __init__(self, table: RouteTable | None) -> None:
@@ -197,7 +197,7 @@
         )
 
     async def run_with(self, test: Callable[[Endpoint], Awaitable[None]]) -> None:
-        """Serve while ``test`` runs."""
+        """Serve requests while ``test`` runs."""
         endpoint = Endpoint(loopback_address(), ENTRY_PORT)
         server = CallerServer(
             endpoint=endpoint,
--- a/tests/cover/test_backend_connection.py
+++ b/tests/cover/test_backend_connection.py
@@ -1,4 +1,4 @@
-"""Exchanges with backend servers that answer wrongly: what counts as an answer, and the verdict."""
+"""Exchanges with misbehaving backend servers: which responses are accepted, and the verdicts."""
 
 import unittest
 
@@ -27,7 +27,7 @@
 
 
 def exchange_all(script, *requests: OutgoingRequest) -> list[BackendReply | ExchangeFailed]:
-    """The outcomes of requests sent one after the other on one connection."""
+    """Send requests sequentially on one connection and return their outcomes."""
     outcomes: list[BackendReply | ExchangeFailed] = []
 
     async def run() -> None:
@@ -50,7 +50,7 @@
 
 
 class AnswerTest(unittest.TestCase):
-    def test_whole_answer_is_ours(self) -> None:
+    def test_complete_response_is_accepted(self) -> None:
         async def script(stream: ScriptedStream) -> None:
             await stream.request()
             await stream.send(response(b"hello", OWN, "X-Server-Load: 1,0,3"))
@@ -61,11 +61,11 @@
         self.assertEqual((reply.status, reply.body, reply.not_run), (200, b"hello", False))
         self.assertIn((b"x-server-load", b"1,0,3"), reply.headers)
 
-    def test_late_answer_to_another_request_is_stepped_over(self) -> None:
-        """Symptom: a caller gets another caller's answer.
+    def test_response_to_another_request_is_skipped(self) -> None:
+        """Guards against a caller receiving another caller's response.
 
-        A backend server answers a request twice; the second answer arrives where the answer to the
-        next request on the connection is awaited. Only the id tells them apart.
+        A backend server responds to a request twice, and the second response arrives while the
+        response to the next request is awaited. Only the request id distinguishes them.
         """
 
         async def script(stream: ScriptedStream) -> None:
@@ -79,7 +79,7 @@
         assert isinstance(reply, BackendReply)
         self.assertEqual(reply.body, b"mine")
 
-    def test_answer_without_id_on_a_used_connection_is_not_trusted(self) -> None:
+    def test_response_without_id_on_a_used_connection_is_rejected(self) -> None:
         async def script(stream: ScriptedStream) -> None:
             await stream.request()
             await stream.send(response(b"first", OWN))
@@ -90,7 +90,7 @@
         assert isinstance(failed, ExchangeFailed)
         self.assertIs(failed.verdict, Verdict.MAY_HAVE_RUN)
 
-    def test_body_that_is_cut_is_no_answer(self) -> None:
+    def test_truncated_body_is_rejected(self) -> None:
         async def script(stream: ScriptedStream) -> None:
             await stream.request()
             await stream.send(response(b"0123456789", OWN)[:-3])
@@ -99,10 +99,11 @@
         assert isinstance(failed, ExchangeFailed)
         self.assertIs(failed.verdict, Verdict.MAY_HAVE_RUN)
 
-    def test_body_without_length_is_whole_at_a_clean_end_only(self) -> None:
-        """Symptom: half a certificate looks whole.
+    def test_body_without_length_is_complete_only_after_a_clean_close(self) -> None:
+        """Guards against a truncated document being forwarded as complete.
 
-        A body that ends with its connection is whole if that was closed, and cut if it was reset.
+        A body without a length ends with the connection: it is complete if the connection was
+        closed, and truncated if it was reset.
         """
 
         async def clean(stream: ScriptedStream) -> None:
@@ -121,7 +122,7 @@
         self.assertEqual(whole.body, b"whole")
         self.assertIsInstance(cut, ExchangeFailed)
 
-    def test_bytes_that_are_no_answer(self) -> None:
+    def test_invalid_response_is_rejected(self) -> None:
         async def script(stream: ScriptedStream) -> None:
             await stream.request()
             await stream.send(b"\x00\x01 garbage \r\n\r\n")
@@ -130,8 +131,8 @@
         assert isinstance(failed, ExchangeFailed)
         self.assertIs(failed.reason, FailureReason.BAD_RESPONSE)
 
-    def test_connection_that_ends_without_an_answer_is_no_garbled_answer(self) -> None:
-        """Guards against crashes of backend servers that look like nonsense from them."""
+    def test_connection_closed_without_response_is_a_reset(self) -> None:
+        """Guards against reporting the crash of a backend server as an invalid response."""
 
         async def closed(stream: ScriptedStream) -> None:
             await stream.request()
@@ -145,7 +146,7 @@
             assert isinstance(failed, ExchangeFailed)
             self.assertIs(failed.reason, FailureReason.RESET)
 
-    def test_refusal_bears_its_mark(self) -> None:
+    def test_not_run_is_derived_from_header_or_status(self) -> None:
         async def script(stream: ScriptedStream) -> None:
             await stream.request()
             await stream.send(response(b"", OWN, "X-Not-Executed: 1", status="503 Full"))
@@ -176,7 +177,7 @@
         trio.run(run)
         return found[0]
 
-    def test_clean_connection_is_used_again(self) -> None:
+    def test_connection_is_reusable_after_a_complete_exchange(self) -> None:
         async def script(stream: ScriptedStream) -> None:
             await stream.request()
             await stream.send(response(b"hello", OWN))
@@ -184,10 +185,10 @@
 
         self.assertTrue(self.reusable_after(script, outgoing()))
 
-    def test_bytes_behind_the_answer_poison_it(self) -> None:
-        """Symptom: the next request on the connection is given them as its answer.
+    def test_bytes_after_the_response_prevent_reuse(self) -> None:
+        """Guards against bytes after a response being taken for the response to the next request.
 
-        They come in the same segment as the answer, or a moment later.
+        The bytes arrive in the same segment as the response, or shortly afterwards.
         """
 
         async def together(stream: ScriptedStream) -> None:
@@ -205,11 +206,11 @@
         self.assertFalse(self.reusable_after(together, outgoing()))
         self.assertFalse(self.reusable_after(later, outgoing()))
 
-    def test_early_answer_to_a_long_body_ends_the_connection(self) -> None:
-        """Symptom: a backend server runs bytes of one request as another request.
+    def test_early_response_to_a_long_body_prevents_reuse(self) -> None:
+        """Guards against a backend server running part of a request body as another request.
 
-        It answers before it has read a long body, and reads on later. Unless the connection ends,
-        the next request stands where the rest of that body is due.
+        It responds before it has read a long body and continues reading later. If the connection
+        were reused, the next request would be in the place of the rest of that body.
         """
 
         async def script(stream: ScriptedStream) -> None:
--- a/tests/cover/test_backend_pool.py
+++ b/tests/cover/test_backend_pool.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers: kept, spare, swept; and the distances that they measure."""
+"""The pool of connections to backend servers, and the round trip times measured with them."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -25,18 +25,18 @@
 
 
 class FixedDistances(Distances):
-    """Round trips that opened connections don't change: on loopback all are near."""
+    """Keeps the assumed round trip times, since all measured ones are short on loopback."""
 
     def __init__(self) -> None:
         super().__init__(failure_domain=NEAR, region="a", region_of={"a-1": "a", "b-1": "b"})
 
     def record_connect_time(self, failure_domain: str, seconds: float) -> None:
-        """Learn nothing."""
+        """Ignore a measured time."""
 
 
 async def until(holds: Callable[[], bool]) -> None:
-    """Wait for something that another task brings about, bounded by the test's limit."""
-    while not holds():  # noqa: ASYNC110 - there is no event for it
+    """Poll until a condition holds; the time limit of the test applies."""
+    while not holds():  # noqa: ASYNC110 - no event is available
         await trio.sleep(0.01)
 
 
@@ -69,11 +69,11 @@
 
         trio.run(run)
 
-    def test_far_backend_server_has_a_spare_connection(self) -> None:
-        """Symptom: callers of a failure domain with few backend servers are answered late.
+    def test_spare_connection_is_opened_to_a_remote_backend_server(self) -> None:
+        """Guards against late replies to callers in a failure domain with few backend servers.
 
-        Sequence: most of their requests go to another region, each time one more at a time than
-        before. Cause: each opens a connection first, and that takes a round trip of 110 ms.
+        Most of their requests go to another region, with increasing concurrency. Without a spare
+        connection each additional request first opens one, which takes a round trip of 110 ms.
         """
 
         async def test(pool: BackendPool, entry: ServerEntry) -> None:
@@ -81,23 +81,23 @@
             await until(lambda: self.opened == 2)
             await trio.sleep(0.05)
             with patch.object(backend_pool, "open_connection", side_effect=AssertionError):
-                # Asked for while no connection can be opened: the spare one is there.
+                # Opening connections fails here, so that only the spare one can be returned.
                 second = await pool.acquire(entry)
             self.assertIsNot(first, second)
 
         self.run_with(FAR, test)
 
-    def test_no_spare_connections_where_they_are_not_used(self) -> None:
-        """Symptom: a large deployment opens more connections than it sends requests.
+    def test_no_spare_connections_if_few_requests_reuse_connections(self) -> None:
+        """Guards against a large deployment opening more connections than it sends requests.
 
-        Sequence: an instance of many has 400 backend servers, and sends one of them a request now
-        and then. Cause: a spare connection is opened each time, and closed unused after 8 s.
+        One of many instances sends each of 400 backend servers an occasional request. If a spare
+        connection were opened each time, it would be closed unused after 8 s.
         """
 
         async def test(pool: BackendPool, entry: ServerEntry) -> None:
             for number in range(100):
                 await pool.acquire(entry._replace(server_id=f"i-{number}"))
-            # Those that are being opened come to the server a moment later.
+            # Connections that are being opened reach the server a moment later.
             await trio.sleep(0.2)
             opened = self.opened
             for number in range(100, 120):
@@ -107,7 +107,7 @@
 
         self.run_with(FAR, test)
 
-    def test_near_backend_server_has_none(self) -> None:
+    def test_no_spare_connection_to_a_nearby_backend_server(self) -> None:
         async def test(pool: BackendPool, entry: ServerEntry) -> None:
             await pool.acquire(entry)
             await until(lambda: self.opened == 1)
@@ -116,8 +116,8 @@
 
         self.run_with(NEAR, test)
 
-    def test_connections_that_rested_too_long_are_closed(self) -> None:
-        """Symptom: descriptors run out. Cause: connections that nobody uses stay open."""
+    def test_expired_connections_are_closed(self) -> None:
+        """Guards against running out of descriptors because unused connections stay open."""
 
         async def test(pool: BackendPool, entry: ServerEntry) -> None:
             await pool.open_spare(entry, "next-request")
@@ -129,7 +129,7 @@
         ):
             self.run_with(NEAR, test)
 
-    def test_spare_that_cannot_be_opened_harms_nobody(self) -> None:
+    def test_failure_to_open_a_spare_connection_does_not_affect_requests(self) -> None:
         async def test(pool: BackendPool, entry: ServerEntry) -> None:
             refusing = entry._replace(address=entry.address._replace(port=1))
             await pool.open_spare(refusing, "next-request")
@@ -144,9 +144,9 @@
 
 class RoundTripProbeTest(unittest.TestCase):
     def test_each_failure_domain_is_measured_once(self) -> None:
-        """Symptom: two seconds after the start many requests move to another region at once.
+        """Guards against many requests moving to another region at once, 2 s after the start.
 
-        Cause: until requests had opened connections there, the region was believed to be far.
+        Without probes a region is assumed to be far until requests have opened connections there.
         """
         opened: list[None] = []
 
@@ -174,7 +174,7 @@
                     await until(lambda: distances.is_measured(FAR))
                     await until(lambda: distances.is_measured(NEAR))
                 await trio.sleep(1.2)
-                # What was measured, however long it took on a busy machine.
+                # A measured time has replaced the assumed one; its value depends on the load.
                 self.assertNotEqual(distances.round_trip_s(FAR), INITIAL_OTHER_REGION_ROUND_TRIP_S)
                 nursery.cancel_scope.cancel()
 
--- a/tests/cover/test_caller_connection.py
+++ b/tests/cover/test_caller_connection.py
@@ -1,4 +1,4 @@
-"""A caller's connection: order of replies, closes that are noticed, limits, ambiguous framing."""
+"""A caller's connection: order of replies, detection of closes, limits and ambiguous framing."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -69,11 +69,11 @@
 
         self.run_with(slow_first, test)
 
-    def test_requests_sent_ahead_are_served_at_the_same_time(self) -> None:
-        """Symptom: a lookup that takes 30 ms is answered after half a second.
+    def test_pipelined_requests_are_served_concurrently(self) -> None:
+        """Guards against late replies to pipelined requests.
 
-        Sequence: a caller sends requests ahead on one connection. Cause: each was given to a
-        backend server only when the one before it had its whole reply.
+        If each request were sent to a backend server only after the complete reply to the previous
+        one, a request that takes 30 ms could be replied to after 500 ms.
         """
         together = trio.Event()
         begun = []
@@ -93,7 +93,7 @@
 
         self.run_with(meet, test)
 
-    def test_reply_that_waits_for_its_turn_says_for_how_long(self) -> None:
+    def test_wait_for_earlier_replies_is_measured(self) -> None:
         waited = {}
 
         async def slow_first(request: IncomingRequest, caller: CallerExchange) -> None:
@@ -110,11 +110,11 @@
         self.assertEqual(waited["/a"], 0)
         self.assertGreater(waited["/b"], 0.05)
 
-    def test_only_safe_requests_are_served_at_the_same_time(self) -> None:
-        """Symptom: a caller reads what was there before its own change.
+    def test_only_safe_requests_are_served_concurrently(self) -> None:
+        """Guards against a caller reading the state before its own preceding write.
 
-        Sequence: a release and a balance check behind it on one connection. Cause: both were served
-        at the same time, although the first one changes what the second one reads.
+        A write and a read are pipelined on one connection. If they were served concurrently, the
+        read could be processed first.
         """
         log = []
 
@@ -134,11 +134,11 @@
         expected = [f"/{name} {what}" for name in "abc" for what in ("begins", "ends")]
         self.assertEqual(log, expected)
 
-    def test_connection_of_a_leaving_instance_ends_behind_what_was_begun(self) -> None:
-        """Symptom: a request runs, and its caller gets a closed connection.
+    def test_stopping_instance_closes_after_the_last_started_request(self) -> None:
+        """Guards against a request that runs without a reply because the connection is closed.
 
-        Sequence: two requests of a connection are at backend servers; the instance is told to stop;
-        the first is answered. Cause: its reply said that the connection ends with it.
+        Two requests of a connection are at backend servers when the instance is told to stop. The
+        reply to the first one must not announce the end of the connection.
         """
         stop = trio.Event()
 
@@ -161,7 +161,7 @@
 
         self.run_with(handler, test)
 
-    def test_requests_behind_an_internal_error_get_their_replies(self) -> None:
+    def test_requests_after_an_internal_error_are_replied_to(self) -> None:
         async def handler(request: IncomingRequest, caller: CallerExchange) -> None:
             if request.target == "/a":
                 raise ZeroDivisionError
@@ -175,7 +175,7 @@
 
         self.run_with(handler, test)
 
-    def test_reply_that_breaks_off_ends_those_behind_it(self) -> None:
+    def test_truncated_reply_suppresses_later_replies(self) -> None:
         async def handler(request: IncomingRequest, caller: CallerExchange) -> None:
             if request.target == "/a":
                 await caller.begin(200, [(b"content-length", b"9")])
@@ -191,10 +191,11 @@
         self.run_with(handler, test)
 
     def test_connection_is_kept_after_a_request_without_body(self) -> None:
-        """Symptom: every caller opens a connection for each request, and pipelined ones are lost.
+        """Guards against closing the connection after each request without a body.
 
-        The handler of a request without a body reads none. The parser had not been asked for the
-        end of the request, so it was taken as not read to its end, and the connection was closed.
+        The handler of such a request reads no body. Unless the parser is asked for the end of the
+        request, the request counts as unread and the reply closes the connection. Callers then open
+        a connection for each request, and pipelined requests are lost.
         """
 
         async def unread(request: IncomingRequest, caller: CallerExchange) -> None:
@@ -208,11 +209,11 @@
 
         self.run_with(unread, test)
 
-    def test_replies_to_head_bear_no_body(self) -> None:
-        """Symptom: a HEAD request ends its connection, and those behind it get no answer.
+    def test_replies_to_head_have_no_body(self) -> None:
+        """Guards against a HEAD request ending its connection, without replies to later requests.
 
-        Sequence: the reply has a body, since the page or the refusal has one for every method.
-        Cause: the parser knows that none may follow, and raised.
+        Handlers pass a body for every method. The parser raises an error if a body is sent in a
+        reply to HEAD.
         """
 
         async def handler(request: IncomingRequest, caller: CallerExchange) -> None:
@@ -233,11 +234,11 @@
 
         self.run_with(handler, test)
 
-    def test_broken_reply_is_reset_for_old_callers(self) -> None:
-        """Symptom: a short certificate looks whole to a caller of HTTP/1.0.
+    def test_truncated_reply_to_http_1_0_resets_the_connection(self) -> None:
+        """Guards against a truncated document that looks complete to an HTTP/1.0 caller.
 
-        Sequence: a backend server dies in the middle of a body of unknown length. Cause: the end of
-        the connection is the regular end of such a body.
+        A backend server dies in the middle of a body of unknown length. For HTTP/1.0 a regular
+        close of the connection is the regular end of such a body.
         """
 
         async def handler(request: IncomingRequest, caller: CallerExchange) -> None:
@@ -252,11 +253,11 @@
 
         self.run_with(handler, test)
 
-    def test_close_is_noticed_while_requests_wait_behind_the_open_one(self) -> None:
-        """Symptom: backend servers go on working for callers that have left.
+    def test_close_is_detected_while_pipelined_requests_wait(self) -> None:
+        """Guards against backend servers working on requests of callers that have left.
 
-        A caller sends two requests, and closes the connection while the first is served. A server
-        that stops reading while a reply is under way sees the close only after that reply.
+        A caller sends two requests and closes the connection while the first is served. A server
+        that stops reading until the reply is sent detects the close only then.
         """
         cancelled = trio.Event()
 
@@ -275,7 +276,7 @@
 
         self.run_with(endless, test)
 
-    def test_chunked_body_is_read_whole(self) -> None:
+    def test_chunked_body_is_read_completely(self) -> None:
         async def test(stream: trio.SocketStream) -> None:
             await stream.send_all(
                 b"POST /p HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -286,9 +287,10 @@
         self.run_with(echo, test)
 
     def test_ambiguous_framing_is_refused(self) -> None:
-        """Symptom: a request hidden in another's body runs.
+        """Guards against request smuggling.
 
-        With both a length and chunks, two readers disagree where the body ends.
+        If a request has both Content-Length and Transfer-Encoding, two parsers may disagree about
+        the end of the body, and a request hidden in the body runs.
         """
 
         async def test(stream: trio.SocketStream) -> None:
@@ -302,14 +304,14 @@
 
         self.run_with(echo, test)
 
-    def test_bytes_that_are_no_request(self) -> None:
+    def test_invalid_request_is_refused(self) -> None:
         async def test(stream: trio.SocketStream) -> None:
             await stream.send_all(b"\x16\x03\x01 hello\r\n\r\n")
             self.assertIn(b" 400 ", await self.read_until(stream, b"never"))
 
         self.run_with(echo, test)
 
-    def test_head_that_is_not_finished_in_time(self) -> None:
+    def test_incomplete_head_times_out(self) -> None:
         self.bounds = CallerBounds(1024, 1024, header_timeout_s=0.1, idle_timeout_s=5)
 
         async def test(stream: trio.SocketStream) -> None:
@@ -318,7 +320,7 @@
 
         self.run_with(echo, test)
 
-    def test_head_and_body_over_their_bounds(self) -> None:
+    def test_head_and_body_over_their_limits_are_refused(self) -> None:
         self.bounds = CallerBounds(1024, 100, header_timeout_s=1, idle_timeout_s=5)
         long_head = b"GET /a HTTP/1.1\r\nHost: h\r\nX: " + b"x" * 5000
         long_body = b"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -333,7 +335,7 @@
 
             self.run_with(echo, test)
 
-    def test_idle_connection_is_closed_after_its_time_only(self) -> None:
+    def test_idle_connection_is_closed_after_the_timeout(self) -> None:
         self.bounds = CallerBounds(1024, 1024, header_timeout_s=1, idle_timeout_s=1.5)
 
         async def test(stream: trio.SocketStream) -> None:
@@ -345,7 +347,7 @@
 
         self.run_with(echo, test)
 
-    def test_reply_of_a_leaving_instance_ends_the_connection(self) -> None:
+    def test_reply_of_a_stopping_instance_ends_the_connection(self) -> None:
         self.leaving = True
 
         async def test(stream: trio.SocketStream) -> None:
--- a/tests/cover/test_dispatcher.py
+++ b/tests/cover/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""One request through the entry: routes, repetitions, verdicts, given to real sockets."""
+"""Requests dispatched over real sockets: routes, retries and verdicts."""
 
 import unittest
 from collections.abc import Awaitable, Callable, Mapping
@@ -26,7 +26,7 @@
 
 
 class Backend:
-    """A backend server that answers each request by a function of the test."""
+    """A backend server that responds to each request with the result of a function."""
 
     def __init__(self, answer: Answer) -> None:
         self.requests: list[bytes] = []
@@ -68,7 +68,7 @@
 
 
 def first_only(fault: Answer) -> Answer:
-    """Fails the first request of all, and answers the others."""
+    """Return a function that applies ``fault`` to the first request and answers all others."""
     left = [fault]
 
     def answer(request: bytes) -> bytes | None:
@@ -99,7 +99,7 @@
         trio.run(run)
 
     def replies(self, scripts: Mapping[str, Script], *requests: bytes) -> list[bytes]:
-        """What a caller gets for requests, each on a connection of its own."""
+        """Send each request on a separate connection and return the replies."""
         got: list[bytes] = []
 
         async def test(endpoint: Endpoint) -> None:
@@ -112,7 +112,7 @@
         self.run_with(scripts, test)
         return got
 
-    def test_answer_is_passed_on_unchanged(self) -> None:
+    def test_response_is_forwarded_unchanged(self) -> None:
         backend = Backend(ok)
         (reply,) = self.replies({"i-1": backend.script}, get("/r/x?y=1"))
         self.assertTrue(reply.startswith(b"HTTP/1.1 200"), reply)
@@ -122,7 +122,7 @@
         self.assertTrue(seen.startswith(b"GET /r/x?y=1 HTTP/1.1\r\n"))
         self.assertIn(b"x-expect-instance: i-1", seen)
 
-    def test_deadline_that_is_passed_on_is_what_is_left(self) -> None:
+    def test_remaining_time_is_passed_to_the_backend_server(self) -> None:
         backend = Backend(ok)
         short, long = get("/r/x", "X-Deadline-Ms: 700"), get("/r/x", "X-Deadline-Ms: 60000")
         self.replies({"i-1": backend.script}, short, long)
@@ -135,12 +135,12 @@
         self.assertTrue(500 < sent[0] <= 700, sent)
         self.assertTrue(1800 < sent[1] <= 2000, sent)
 
-    def test_no_configuration_yet_is_no_404(self) -> None:
+    def test_request_before_the_configuration_is_known_gets_503(self) -> None:
         self.parts.table = None
         (reply,) = self.replies({}, get("/r/x"))
         self.assertTrue(reply.startswith(b"HTTP/1.1 503"), reply)
 
-    def test_no_route(self) -> None:
+    def test_request_without_a_route_gets_404(self) -> None:
         (reply,) = self.replies({}, get("/other/x"))
         self.assertTrue(reply.startswith(b"HTTP/1.1 404"), reply)
 
@@ -153,17 +153,17 @@
             self.assertTrue(reply.startswith(b"HTTP/1.1 200"), reply)
             self.assertEqual(len(backend.requests), 2)
 
-    def test_request_that_did_not_run_is_refused_with_a_time_to_come_back(self) -> None:
+    def test_request_that_did_not_run_is_refused_with_retry_after(self) -> None:
         (reply,) = self.replies({"i-1": Backend(shed).script}, get("/r/x"))
         self.assertTrue(reply.startswith(b"HTTP/1.1 503"), reply)
         self.assertIn(b"retry-after: 0.", reply)
         self.assertNotIn(b"x-not-executed", reply)
 
-    def test_non_idempotent_request_whose_answer_is_lost_is_not_repeated_nor_refused(self) -> None:
-        """Symptom: a deposit release is paid twice.
+    def test_non_idempotent_request_with_lost_response_is_not_retried_nor_refused(self) -> None:
+        """Guards against running a non-idempotent request twice.
 
-        The backend server runs it, and the connection ends without an answer. Sent again, or
-        answered 503 so that the caller sends it again, it would run a second time.
+        The backend server runs the request, and the connection ends without a response. A retry
+        would run it again, and so would a caller that retries after status 503.
         """
         self.parts = SteeringParts(make_table(make_route(kind=POST)))
         first, second = Backend(cut), Backend(cut)
@@ -174,18 +174,18 @@
         self.assertTrue(reply.startswith(b"HTTP/1.1 502"), reply)
         self.assertEqual(len(first.requests) + len(second.requests), 1)
 
-    def test_idempotent_request_whose_answer_is_lost_is_repeated(self) -> None:
+    def test_idempotent_request_with_lost_response_is_retried(self) -> None:
         backend = Backend(first_only(cut))
         (reply,) = self.replies({"i-1": backend.script, "i-2": backend.script}, get("/r/x"))
         self.assertTrue(reply.startswith(b"HTTP/1.1 200"), reply)
 
-    def test_own_failure_of_a_backend_server_is_passed_on_if_the_other_fails_too(self) -> None:
+    def test_error_response_is_forwarded_if_all_backend_servers_fail(self) -> None:
         scripts = {"i-1": Backend(own_fault).script, "i-2": Backend(own_fault).script}
         (reply,) = self.replies(scripts, get("/r/x"))
         self.assertTrue(reply.startswith(b"HTTP/1.1 500"), reply)
         self.assertIn(b"x-response-seal: s", reply)
 
-    def test_backend_server_that_is_not_there_costs_nothing(self) -> None:
+    def test_unreachable_backend_server_fails_no_request(self) -> None:
         async def test(endpoint: Endpoint) -> None:
             entries = [*self.parts.fleet.entries.values()]
             nobody = make_server("i-0", BackendAddress("127.0.0.1", 9))
@@ -197,11 +197,12 @@
 
         self.run_with({"i-1": Backend(ok).script}, test)
 
-    def test_silent_backend_server_is_waited_for_beside_another(self) -> None:
-        """Symptom: a request ends 502 while its backend server works on it.
+    def test_request_to_a_silent_backend_server_is_hedged(self) -> None:
+        """Guards against replying 502 while a backend server still works on the request.
 
-        The first backend server answers nothing. Cancelling it for a second one lost the answer
-        when the second had no room; both are waited for, and the first answer is taken.
+        The first backend server does not respond. If its exchange were cancelled in favour of a
+        second one, its response would be lost when the second has no room. Both are awaited, and
+        the first response is forwarded.
         """
         backend = Backend(first_only(silent))
         scripts = {"i-1": backend.script, "i-2": backend.script}
@@ -209,19 +210,19 @@
         self.assertTrue(reply.startswith(b"HTTP/1.1 200"), reply)
         self.assertEqual(len(backend.requests), 2)
 
-    def test_deadline_is_answered_in_time_with_nothing_promised(self) -> None:
+    def test_request_at_its_deadline_gets_504_without_retry_after(self) -> None:
         (reply,) = self.replies({"i-1": Backend(silent).script}, get("/r/x", "X-Deadline-Ms: 300"))
         self.assertTrue(reply.startswith(b"HTTP/1.1 504"), reply)
         self.assertNotIn(b"retry-after", reply)
 
-    def test_body_that_does_not_come_is_answered_at_the_deadline(self) -> None:
-        """Symptom: a caller that stalls in its body holds a request open for ever."""
+    def test_missing_body_gets_408_at_the_deadline(self) -> None:
+        """Guards against a request that stays open forever because its caller stops sending."""
         stalled = get("/r/x", "X-Deadline-Ms: 200", "Content-Length: 5") + b"ab"
         (reply,) = self.replies({"i-1": Backend(ok).script}, stalled)
         self.assertTrue(reply.startswith(b"HTTP/1.1 408"), reply)
 
-    def test_caller_that_leaves_ends_the_work_at_the_backend_server(self) -> None:
-        """Symptom: backend servers are busy with requests that nobody waits for."""
+    def test_exchange_is_cancelled_when_the_caller_leaves(self) -> None:
+        """Guards against backend servers working on requests whose callers have left."""
         ended = trio.Event()
 
         async def script(stream: ScriptedStream) -> None:
--- a/tests/cover/test_keyed_requests.py
+++ b/tests/cover/test_keyed_requests.py
@@ -1,4 +1,4 @@
-"""Requests with keys through the entry: who may run, what backend servers are told."""
+"""Dispatch of requests with API keys: access, allowances and headers sent to backend servers."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -20,7 +20,7 @@
 
 
 def keyed_table(*, version: int = 1, key: str = KEY) -> RouteTable:
-    """A route that needs a key, and a public one."""
+    """Return a table with a route that needs a key and a public one."""
     table = make_table(make_route(), make_route("public", public=True), version=version)
     return table._replace(workspaces={key_digest(key.encode()): WORKSPACE})
 
@@ -52,7 +52,7 @@
         return self.statuses_of([(path, headers)])[0]
 
     def statuses_of(self, sent: list[tuple[str, tuple[str, ...]]]) -> list[int]:
-        """The statuses of requests on one connection."""
+        """Send requests on one connection and return the statuses of the replies."""
         statuses = []
 
         async def test(endpoint: Endpoint) -> None:
@@ -66,36 +66,36 @@
         self.run_with(test)
         return statuses
 
-    def test_a_backend_server_is_told_the_workspace_and_not_the_key(self) -> None:
-        """Guards against a key passed on, and a workspace that the caller names itself."""
+    def test_backend_server_receives_the_workspace_but_not_the_key(self) -> None:
+        """Guards against forwarding a key or a workspace header that was set by the caller."""
         self.assertEqual(self.status_of(CREDENTIALS, "X-Tenant: other"), 200)
         self.assertIn(b"x-tenant: huka270\r\n", self.requests[0])
         self.assertNotIn(b"other", self.requests[0])
         self.assertNotIn(b"authorization", self.requests[0])
         self.assertEqual(self.parts.allowances.spent, [WORKSPACE.name])
 
-    def test_a_public_route_tells_no_workspace(self) -> None:
+    def test_public_route_sends_no_workspace(self) -> None:
         self.assertEqual(self.status_of("X-Tenant: other", CREDENTIALS, path="/public/1"), 200)
         self.assertNotIn(b"x-tenant", self.requests[0])
         self.assertNotIn(b"authorization", self.requests[0])
         self.assertEqual(self.parts.allowances.spent, [])
 
-    def test_the_connection_goes_on_after_a_key_was_refused(self) -> None:
+    def test_connection_stays_open_after_a_refused_key(self) -> None:
         wrong = "Authorization: Bearer other"
         sent = [("/r/1", (wrong,)), ("/r/2", ()), ("/r/3", (CREDENTIALS, wrong))]
         statuses = self.statuses_of([*sent, ("/r/4", (CREDENTIALS,))])
         self.assertEqual(statuses, [401, 401, 401, 200])
         self.assertEqual(len(self.requests), 1)
 
-    def test_a_configuration_without_proof_lets_no_key_in(self) -> None:
-        """Guards against a cut instance that serves a key after it was taken away."""
+    def test_unconfirmed_configuration_admits_no_key(self) -> None:
+        """Guards against a partitioned instance that accepts a key after it was revoked."""
         self.parts.is_proved = False
         self.assertEqual(self.status_of(CREDENTIALS), 503)
         self.assertEqual(self.status_of(path="/public/1"), 200)
         self.assertEqual(len(self.requests), 1)
 
-    def test_a_key_that_is_taken_away_while_its_request_waits(self) -> None:
-        """Guards against the send of a request that was let in before its key was taken away."""
+    def test_key_revoked_while_the_request_waits(self) -> None:
+        """Guards against sending a request that was admitted before its key was revoked."""
         spend = self.parts.allowances.spend
 
         async def spend_slowly(workspace: str):
@@ -106,8 +106,8 @@
         self.assertEqual(self.status_of(CREDENTIALS), 401)
         self.assertEqual(self.requests, [])
 
-    def test_proof_that_ends_while_a_connection_opens(self) -> None:
-        """Guards against a send after a pause of the process, by a check made before it."""
+    def test_confirmation_lost_while_a_connection_opens(self) -> None:
+        """Guards against a send that relies on a check made before a pause of the process."""
         begin = self.parts.quarantine.record_started
 
         def begin_and_lose_proof(fingerprint: str) -> None:
@@ -118,12 +118,12 @@
         self.assertEqual(self.status_of(CREDENTIALS), 503)
         self.assertEqual(self.requests, [])
 
-    def test_over_the_allowance(self) -> None:
+    def test_request_over_the_allowance_gets_429(self) -> None:
         self.parts.allowances.tokens = 1
         statuses = self.statuses_of([("/r/1", (CREDENTIALS,)), ("/r/2", (CREDENTIALS,))])
         self.assertEqual(statuses, [200, 429])
 
-    def test_an_allowance_that_nobody_can_vouch_for_is_no_429(self) -> None:
+    def test_unknown_allowance_gets_503(self) -> None:
         self.parts.allowances.tokens = 0
         self.parts.allowances.wait_s = float("inf")
         self.assertEqual(self.status_of(CREDENTIALS), 503)
--- a/tests/cover/test_reach_probe.py
+++ b/tests/cover/test_reach_probe.py
@@ -1,4 +1,4 @@
-"""Backend servers that could not be reached are tried by connections, not by requests."""
+"""Unreachable backend servers are probed with connections instead of requests."""
 
 import unittest
 from random import Random
@@ -18,7 +18,7 @@
 
 
 class FakePool:
-    """Opens connections once the backend server is back."""
+    """A pool that fails to open connections until ``back`` is set."""
 
     def __init__(self) -> None:
         self.back = False
@@ -56,11 +56,11 @@
     def rests(self, placement: Placement) -> bool:
         return placement.load_of(self.fleet.entries["i-1"]).resting_until is not None
 
-    def test_dead_one_is_tried_ever_more_rarely_until_it_is_back(self) -> None:
-        """Symptom: while backend servers are dead, some requests wait for each of them again.
+    def test_unreachable_backend_server_is_probed_at_growing_intervals(self) -> None:
+        """Guards against requests that wait for dead backend servers again and again.
 
-        Sequence: a failure domain loses power for seconds. Cause: after each rest a request was
-        sent to see whether it was back.
+        A failure domain loses power for several seconds. Without probes, a request would be sent
+        after each pause to find out whether the backend server is reachable.
         """
 
         async def test(placement: Placement) -> None:
@@ -75,7 +75,7 @@
 
         self.run_with(test)
 
-    def test_one_that_was_never_out_of_reach_is_left_alone(self) -> None:
+    def test_reachable_backend_server_is_not_probed(self) -> None:
         async def test(placement: Placement) -> None:
             await trio.sleep(5.0)
             self.assertEqual(self.pool.tried_at, [])
--- a/tests/cover/test_warm_up.py
+++ b/tests/cover/test_warm_up.py
@@ -1,4 +1,4 @@
-"""Connections that stand ready: which backend servers they go to, and for how long."""
+"""The connection warm-up: which backend servers it covers, and for how long."""
 
 import unittest
 from random import Random
@@ -18,7 +18,7 @@
 
 
 class FakePool:
-    """Notes who got a connection; each is of use for some seconds."""
+    """Records opened connections, each of which stays usable for ``lasts_s`` seconds."""
 
     def __init__(self, lasts_s: float) -> None:
         self.opened: list[str] = []
@@ -52,19 +52,19 @@
         trio.run(run, clock=MockClock(autojump_threshold=0))
         return pool.opened
 
-    def test_who_gets_no_requests_opens_none(self) -> None:
-        """Symptom: three connections for each request, and backend servers over their cap.
+    def test_instance_that_is_no_entry_opens_no_connections(self) -> None:
+        """Guards against opening three connections per request and exceeding backend servers' caps.
 
-        Of 195 instances that kept 64 each, 168 never sent a request.
+        With 195 instances that keep 64 connections each, 168 instances never send a request.
         """
         far = [make_server(f"far-{n}", failure_domain="b-1") for n in range(100)]
         self.assertEqual(self.opened(far, is_entry=False), [])
 
-    def test_far_ones_that_take_work(self) -> None:
-        """Symptom: a third of the requests just after a restart of all instances are late.
+    def test_connections_are_opened_to_remote_servers_that_are_not_draining(self) -> None:
+        """Guards against late replies to a third of the requests after a restart of all instances.
 
-        Sequence: callers come back at once; each request to another region opens a connection
-        first. Cause: only one to each failure domain stood ready.
+        Callers return at once. With a single connection open to each failure domain, requests to
+        another region would first open connections.
         """
         entries = [
             make_server("near"),
@@ -73,11 +73,11 @@
         ]
         self.assertEqual(self.opened(entries), ["far"])
 
-    def test_connections_that_ended_are_opened_again_for_a_while(self) -> None:
+    def test_expired_connections_are_reopened_during_the_warm_up(self) -> None:
         opened = self.opened([make_server("far", failure_domain="b-1")], lasts_s=4.0)
         self.assertEqual(len(opened), -(-WARM_UP_DURATION_S // 4.0))
 
-    def test_of_very_many_the_same_few(self) -> None:
+    def test_selection_among_many_servers_is_stable(self) -> None:
         entries = [
             make_server(f"far-{n}", failure_domain="b-1") for n in range(3 * MAX_WARM_SERVERS)
         ]
--- a/tests/integration/test_steering_process.py
+++ b/tests/integration/test_steering_process.py
@@ -1,4 +1,4 @@
-"""The real program on the users' platform: a store, backend servers and callers over loopback."""
+"""The real program with a store, backend servers and callers over loopback."""
 
 import json
 import signal
@@ -23,7 +23,7 @@
 
 LIMIT_S = 40
 IN_FORCE_S = 5.0
-"""Well under the 20 s that a watch waits, also on a busy machine."""
+"""Well below the 20 s wait of a watch, also on a busy host."""
 
 
 class SteeringProcessTest(unittest.TestCase):
@@ -70,7 +70,7 @@
     async def until(
         self, status: int, question: Callable[[], Awaitable[tuple[int, bytes]]]
     ) -> None:
-        """Ask again and again until the status is the wanted one."""
+        """Poll until the reply has the given status."""
         while True:
             got, _ = await question()
             if got == status:
@@ -94,7 +94,7 @@
 
         self.run_with(test)
 
-    def test_changes_are_in_force_soon(self) -> None:
+    def test_configuration_changes_take_effect(self) -> None:
         async def test(process: ModuleProcess, address: str) -> None:
             self.assertEqual((await self.request())[0], 200)
             self.store.put("config", "main", unsplit_config_document("00000009", VirtualHosts=[]))
@@ -107,7 +107,7 @@
         self.run_with(test)
 
     def test_stop_right_after_the_start_is_graceful(self) -> None:
-        """Guards against a signal that ends a process which has begun to take requests."""
+        """Guards against a signal that kills a process which already accepts requests."""
 
         async def test(process: ModuleProcess, address: str) -> None:
             for starts in range(2, 6):
@@ -120,7 +120,7 @@
 
         self.run_with(test)
 
-    def test_draining_backend_server_gets_nothing_soon(self) -> None:
+    def test_draining_backend_server_receives_no_requests(self) -> None:
         async def test(process: ModuleProcess, address: str) -> None:
             spec = self.store.spec("servers", "i-1")
             self.store.put("servers", "i-1", {**spec, "State": "draining"})
@@ -129,12 +129,12 @@
 
         self.run_with(test)
 
-    def test_planned_stop_answers_what_is_open_and_who_still_comes(self) -> None:
-        """Symptom: a caller's request is cut by a planned stop.
+    def test_planned_stop_serves_open_and_new_requests(self) -> None:
+        """Guards against a planned stop that cuts off a request.
 
-        SIGTERM comes while a request is at its backend server. The instance is not ready any more
-        at once, still serves callers who have kept its address, and ends with code 0 only after
-        the open request was answered.
+        SIGTERM arrives while a request is at its backend server. The instance reports at once that
+        it is not ready, still serves callers that use its address, and exits with code 0 only after
+        it has replied to the open request.
         """
 
         async def test(process: ModuleProcess, address: str) -> None:
@@ -160,7 +160,7 @@
 
         self.run_with(test)
 
-    def test_changed_settings_cut_nothing(self) -> None:
+    def test_reload_of_settings_interrupts_no_request(self) -> None:
         async def test(process: ModuleProcess, address: str) -> None:
             self.document["Terms"]["Bounds"]["GraceS"] = 9
             self.file.write_text(json.dumps(self.document))
@@ -170,7 +170,7 @@
 
         self.run_with(test)
 
-    def test_store_that_is_away_changes_nothing(self) -> None:
+    def test_unavailable_store_does_not_affect_requests(self) -> None:
         async def test(process: ModuleProcess, address: str) -> None:
             self.store.refuse = 503
             self.store.end_watches()
@@ -184,7 +184,7 @@
 
 
 class WrongSettingsTest(unittest.TestCase):
-    def test_one_line_for_each_mistake(self) -> None:
+    def test_each_invalid_setting_is_reported_on_a_line(self) -> None:
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             file.write('{"Self": {}, "Network": 1}')
             file.flush()
--- a/tests/integration/test_workspace_keys.py
+++ b/tests/integration/test_workspace_keys.py
@@ -1,4 +1,4 @@
-"""Keys and allowances of workspaces on several instances with the real program."""
+"""API keys and allowances of workspaces on several instances of the real program."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -16,14 +16,14 @@
 INSTANCES = 7
 REVOKE_S = 5.0
 BACK_S = 10.0
-"""After the store's return all serve again; the machine of a test may be busy."""
+"""Time within which all instances serve again after the store has returned, also on a busy host."""
 
 KEY = "3fgfwrz56aw63is47qdq"
 OTHER_KEY = "iqrh4jcda9rgy35ieisp"
 
 
 def config(version: str, *keys: str, **limits: float) -> dict[str, Any]:
-    """A configuration with one workspace."""
+    """Return a configuration with one workspace."""
     tenant = {"Name": "huka270", "ApiKeys": list(keys), "HomeRegions": [], **limits}
     return unsplit_config_document(version, Tenants=[tenant])
 
@@ -63,8 +63,11 @@
     async def all_answer(self, instances: list[Instance], status: int, key: str = KEY) -> bool:
         return all([await self.status(each, key) == status for each in instances])
 
-    def test_key_that_is_taken_away_and_a_store_that_is_away(self) -> None:
-        """Guards against a key served after its bound, and refusals that outlast their reason."""
+    def test_revoked_key_and_unavailable_store(self) -> None:
+        """Guards against accepting a revoked key for too long, and against lasting refusals.
+
+        Requests are refused while the store is unavailable, and must be served again afterwards.
+        """
 
         async def test(instances: list[Instance]) -> None:
             await until(lambda: self.all_answer(instances, 200), BACK_S * 3, "all serve the key")
@@ -88,8 +91,8 @@
 
         self.run_with(config("00000007", KEY), test)
 
-    def test_an_allowance_holds_over_all_instances(self) -> None:
-        """Guards against an allowance that each instance grants by itself."""
+    def test_allowance_is_shared_by_all_instances(self) -> None:
+        """Guards against each instance granting the whole allowance independently."""
         rate, burst, slack = 4.0, 4.0, 20.0
 
         async def test(instances: list[Instance]) -> None:
--- a/tests/nocover/test_caller_streams.py
+++ b/tests/nocover/test_caller_streams.py
@@ -1,4 +1,4 @@
-"""Streams of requests in generated pieces: each gets its one reply, whole and in order."""
+"""Generated request streams: each request gets exactly one complete reply, in order."""
 
 import socket
 import unittest
@@ -17,22 +17,22 @@
 
 LIMIT_S = 10
 READ_AHEAD_BYTES = 64
-"""Small, so that many bodies are longer and their rest is left unread."""
+"""Small, so that many bodies exceed it and their rest stays unread."""
 
 STATUSES = (200, 204, 304, 404, 503)
 
 
 class Sent(NamedTuple):
-    """One request, and how it is replied to.
+    """A generated request and its reply.
 
     Attributes:
-        method: Of the request.
-        body: Of the request; None for none.
-        chunked: Whether the body comes in chunks, or with a length.
-        status: Of the reply.
-        parts: Of the reply's body.
-        streamed: Whether the parts are sent one by one.
-        reads: Whether the handler reads the whole request before it replies.
+        method: The method of the request.
+        body: The body of the request; None if it has none.
+        chunked: Whether the body is sent with chunked encoding instead of a length.
+        status: The status of the reply.
+        parts: The parts of the reply's body.
+        streamed: Whether the parts of the reply are sent separately.
+        reads: Whether the handler reads the complete request before it replies.
     """
 
     method: str
@@ -44,7 +44,7 @@
     reads: bool
 
     def written(self, number: int) -> bytes:
-        """The request's bytes."""
+        """Return the encoded request."""
         body = self.body or b""
         framing = ""
         if self.body is not None and self.chunked:
@@ -76,14 +76,14 @@
 
 
 class Replies:
-    """Reads replies as a client does that knows which requests it sent."""
+    """Reads replies like a client, which knows the methods of the requests it sent."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self._stream = stream
         self._left = b""
 
     async def next(self, method: str) -> tuple[int, bytes, bool]:
-        """Status and body of the next reply, and whether it ends the connection."""
+        """Return status and body of the next reply, and whether it ends the connection."""
         parser = h11.Connection(h11.CLIENT)
         parser.send(h11.Request(method=method, target="/", headers=[("host", "h")]))
         parser.send(h11.EndOfMessage())
@@ -120,10 +120,10 @@
         st.lists(st.integers(0, 5000), max_size=12),
     )
     def test_each_request_gets_its_reply(self, sent: list[Sent], cuts: list[int]) -> None:
-        """Whatever the pieces in which requests arrive, and however much of them was read.
+        """Each request gets its reply, however the stream is split and however much is read.
 
-        A connection may end after a reply that says so; then the requests behind it count as not
-        read, and their callers send them again.
+        A reply may announce the end of the connection. Requests after it then count as unread, and
+        callers send them again.
         """
         trio.run(self._exchange, sent, cuts)
 
@@ -183,5 +183,7 @@
             whole = b"" if bears_none else b"".join(expected.parts)
             self.assertEqual((status, body), (expected.status, whole))
             if ends:
-                self.assertFalse(expected.reads, "a request that was read keeps its connection")
+                self.assertFalse(
+                    expected.reads, "a request that was read must not end the connection"
+                )
                 return
