--- a/src/wagtailpoint/entry/crash_evidence.py
+++ b/src/wagtailpoint/entry/crash_detector.py
@@ -13,12 +13,12 @@
 
 CHECK_TIMEOUT_S: Final = 0.3
 
-SAME_CRASH_S: Final = 1.0
+SAME_CRASH_WINDOW_S: Final = 1.0
 """Ends of one backend server that were noticed within so many seconds are one. The configuration
 names it by its address, which stays the same when it starts again."""
 
 
-class CrashEvidence:
+class CrashDetector:
     """Tells the quarantine of crashes.
 
     A connection alone may end for many reasons; where nobody listens any more, all have.
@@ -35,31 +35,31 @@
         self._backends = backends
         self._quarantine = quarantine
         self._clock = clock
-        self._ended_at: dict[BackendAddress, float] = {}
+        self._crashed_at: dict[BackendAddress, float] = {}
 
-    async def note(
+    async def report_if_crashed(
         self, planned: PlannedRequest, server: BackendServer, failure: BackendFailure
     ) -> None:
         """Take note of a crash if the backend server is gone with the connection."""
         if failure.reason != FailureReason.RESET:
             return
         plan, request = planned.plan, planned.request
-        asked = await self._backends.probe(
+        probed = await self._backends.probe(
             server.address, timeout_s=CHECK_TIMEOUT_S, path=plan.service.report_path
         )
-        if isinstance(asked, Err) and asked.err_value.reason == FailureReason.CONNECT_REFUSED:
+        if isinstance(probed, Err) and probed.err_value.reason == FailureReason.CONNECT_REFUSED:
             report = CrashReport(
                 fingerprint=planned.fingerprint,
                 method=request.method,
                 host=plan.workspace.name,
                 target=request.target,
-                starts=(self._start_that_ended(server.address),),
+                starts=(self._crashed_start(server.address),),
             )
             self._quarantine.record_crash(report)
 
-    def _start_that_ended(self, address: BackendAddress) -> ServerStart:
+    def _crashed_start(self, address: BackendAddress) -> ServerStart:
         now = self._clock.monotonic()
-        ended_at = self._ended_at.get(address)
-        if ended_at is None or now - ended_at > SAME_CRASH_S:
-            ended_at = self._ended_at[address] = now
-        return ServerStart(str(address), int(1000 * ended_at))
+        crashed_at = self._crashed_at.get(address)
+        if crashed_at is None or now - crashed_at > SAME_CRASH_WINDOW_S:
+            crashed_at = self._crashed_at[address] = now
+        return ServerStart(str(address), int(1000 * crashed_at))
--- a/src/wagtailpoint/entry/forwarding.py
+++ b/src/wagtailpoint/entry/forwarding.py
@@ -12,8 +12,14 @@
 from wagtailpoint.admission.refusal import Refusal, RefusalCode, refuse
 from wagtailpoint.admission.slots import ServerChoice, Slot, SlotDemand, SlotPool
 from wagtailpoint.config.model import BackendServer
-from wagtailpoint.entry.crash_evidence import CrashEvidence
-from wagtailpoint.entry.hedging import BUDGET_KEPT, Copy, HedgeDelays, Race, may_hedge
+from wagtailpoint.entry.crash_detector import CrashDetector
+from wagtailpoint.entry.hedging import (
+    BUDGET_RESERVED_FOR_RETRIES,
+    HedgeDelays,
+    HedgedExchange,
+    SendCopy,
+    may_hedge,
+)
 from wagtailpoint.entry.observer import EntryObserver
 from wagtailpoint.entry.plan import Plan, PlannedRequest
 from wagtailpoint.entry.request import without_headers
@@ -36,7 +42,7 @@
     names.VERDICT,
     names.REQUEST_ID,
 )
-LEAST_EXCHANGE_S = 0.001
+MIN_EXCHANGE_S = 0.001
 FAILED_RETRY_AFTER_S = 1.0
 QUARANTINED_RETRY_AFTER_S = 60.0
 
@@ -67,7 +73,7 @@
         ...
 
 
-class Attempt(NamedTuple):
+class FailedAttempt(NamedTuple):
     """One exchange that was made."""
 
     server: BackendServer
@@ -94,15 +100,15 @@
         self._servers = servers
         self._budget = budget
         self._quarantine = quarantine
-        self._evidence = CrashEvidence(backends=backends, quarantine=quarantine, clock=clock)
-        self._delays = HedgeDelays()
+        self._crash_detector = CrashDetector(backends=backends, quarantine=quarantine, clock=clock)
+        self._hedge_delays = HedgeDelays()
         self._observer = observer
 
-    def remaining(self, plan: Plan) -> float:
+    def remaining_s(self, plan: Plan) -> float:
         """Seconds left until the request's deadline, never negative."""
-        return self.until(plan.deadline)
+        return self.seconds_until(plan.deadline)
 
-    def until(self, deadline: float) -> float:
+    def seconds_until(self, deadline: float) -> float:
         """Seconds left until a time of the monotonic clock, never negative."""
         return max(0.0, deadline - self._clock.monotonic())
 
@@ -126,73 +132,79 @@
         plan, fingerprint = planned.plan, planned.fingerprint
         budget = self._budget(plan)
         budget.record_request()
-        tried: list[Attempt] = []
+        failed_attempts: list[FailedAttempt] = []
         while True:
             if self._quarantine.admission(fingerprint) is Admission.QUARANTINED:
-                return Err(_after_attempts(_quarantined(), tried))
+                return Err(_with_attempt_verdicts(_quarantined(), failed_attempts))
             admitted = await self._slots.acquire(
-                self._demand(plan, [each.server for each in tried])
+                self._demand(plan, [attempt.server for attempt in failed_attempts])
             )
             if isinstance(admitted, Err):
-                return Err(_after_attempts(admitted.err_value, tried))
+                return Err(_with_attempt_verdicts(admitted.err_value, failed_attempts))
             slot = admitted.ok_value
             # It may have waited for its slot while others like it crashed what they met.
             admission = self._quarantine.admission(fingerprint)
             if admission is not Admission.ADMITTED:
                 self._slots.release(slot)
-                late = admission is Admission.QUARANTINED
-                return Err(_after_attempts(_quarantined() if late else _suspect(), tried))
-            if self.remaining(plan) < LEAST_EXCHANGE_S:
+                is_quarantined = admission is Admission.QUARANTINED
+                return Err(
+                    _with_attempt_verdicts(
+                        _quarantined() if is_quarantined else _suspect(), failed_attempts
+                    )
+                )
+            if self.remaining_s(plan) < MIN_EXCHANGE_S:
                 # Sent now, it would only be cut off, with an outcome that nobody knows.
                 self._slots.release(slot)
-                return Err(_after_attempts(_deadline_passed(), tried))
+                return Err(_with_attempt_verdicts(_deadline_passed(), failed_attempts))
             send = partial(self._send, planned)
-            if tried or not self._is_hedged(planned, slot):
-                attempts = await self._send_one(send, slot, sink)
+            if failed_attempts or not self._is_hedged(planned, slot):
+                new_failures = await self._send_one(send, slot, sink)
             else:
-                attempts = await self._send_hedged(send, slot, sink, plan)
-            if not attempts:
+                new_failures = await self._send_hedged(send, slot, sink, plan)
+            if not new_failures:
                 return Ok(None)
-            tried += attempts
-            failure = attempts[-1].failure
+            failed_attempts += new_failures
+            failure = new_failures[-1].failure
             decision = decide_retry(
                 idempotent=plan.route.idempotent,
                 verdict=failure.verdict,
                 response_started=False,
-                attempts=len(tried),
-                remaining_s=self.remaining(plan),
+                attempts=len(failed_attempts),
+                remaining_s=self.remaining_s(plan),
                 budget=budget,
             )
             # A streamed body has been read in part by the first attempt: it can't be sent again.
             again = decision.allowed and planned.stream is None
             again = again and self._quarantine.allows_retry(fingerprint)
-            for attempt in attempts:
+            for attempt in new_failures:
                 self._observer.on_exchange_failed(
                     planned.request, attempt.server.address, attempt.failure, again=again
                 )
             if not again:
-                return Err(_failed(failure, tried))
+                return Err(_failed(failure, failed_attempts))
 
-    async def _send_one(self, send: Copy, slot: Slot, sink: ResponseSink) -> list[Attempt]:
+    async def _send_one(
+        self, send: SendCopy, slot: Slot, sink: ResponseSink
+    ) -> list[FailedAttempt]:
         """Send it once; return the attempt if it failed."""
         failure = await send(slot, sink)
-        return [] if failure is None else [Attempt(slot.server, failure)]
+        return [] if failure is None else [FailedAttempt(slot.server, failure)]
 
     async def _send_hedged(
-        self, send: Copy, slot: Slot, sink: ResponseSink, plan: Plan
-    ) -> list[Attempt]:
+        self, send: SendCopy, slot: Slot, sink: ResponseSink, plan: Plan
+    ) -> list[FailedAttempt]:
         """Send a second copy when the first is slow; return the attempts if all failed."""
-        race = Race(
-            copy=send,
+        hedged = HedgedExchange(
+            send_copy=send,
             sink=sink,
-            second=lambda: self._second_slot(plan, slot),
-            delay_s=self._delays.delay_s(slot.pool),
+            take_second_slot=lambda: self._second_slot(plan, slot),
+            delay_s=self._hedge_delays.delay_s(slot.pool),
         )
-        await race.run(slot)
-        self._delays.note(slot.pool, slow=race.slow)
-        if race.answered:
+        await hedged.run(slot)
+        self._hedge_delays.record(slot.pool, slow=hedged.slow)
+        if hedged.answered:
             return []
-        return [Attempt(failed.server, failure) for failed, failure in race.failures]
+        return [FailedAttempt(failed.server, failure) for failed, failure in hedged.failures]
 
     def _is_hedged(self, planned: PlannedRequest, slot: Slot) -> bool:
         if planned.stream is not None or self._quarantine.crashes(planned.fingerprint):
@@ -202,9 +214,9 @@
 
     def _second_slot(self, plan: Plan, first: Slot) -> Slot | None:
         """A slot for a second copy; only an idle one, and out of the retry budget."""
-        if not self._slots.has_idle(first.pool) or self.remaining(plan) < LEAST_EXCHANGE_S:
+        if not self._slots.has_idle(first.pool) or self.remaining_s(plan) < MIN_EXCHANGE_S:
             return None
-        if not self._budget(plan).take(reserve_fraction=BUDGET_KEPT):
+        if not self._budget(plan).take(reserve_fraction=BUDGET_RESERVED_FOR_RETRIES):
             return None
         return self._slots.take_idle(self._demand(plan, [first.server]))
 
@@ -213,10 +225,10 @@
     ) -> BackendFailure | None:
         self._quarantine.record_started(planned.fingerprint)
         try:
-            sent = _as_sent(planned, self.remaining(planned.plan))
+            sent = _backend_request(planned, self.remaining_s(planned.plan))
             failure = await self._exchange(slot, sent, sink)
             if failure is not None:
-                await self._evidence.note(planned, slot.server, failure)
+                await self._crash_detector.report_if_crashed(planned, slot.server, failure)
             return failure
         finally:
             self._quarantine.record_ended(planned.fingerprint)
@@ -251,7 +263,7 @@
         )
 
 
-def _as_sent(planned: PlannedRequest, remaining_s: float) -> BackendRequest:
+def _backend_request(planned: PlannedRequest, remaining_s: float) -> BackendRequest:
     plan, request = planned.plan, planned.request
     return BackendRequest(
         request_id=secrets.token_hex(8),
@@ -259,14 +271,14 @@
         target=request.target,
         headers=without_headers(request.headers, NOT_FORWARDED),
         # None and not an empty body: a GET would else be sent as chunked.
-        body=_once(planned.body) if planned.body else planned.stream,
+        body=_single_chunk(planned.body) if planned.body else planned.stream,
         deadline_s=remaining_s,
         idempotent=plan.route.idempotent,
         echoes_request_id=plan.service.echoes_request_id,
     )
 
 
-async def _once(body: bytes) -> AsyncIterator[bytes]:
+async def _single_chunk(body: bytes) -> AsyncIterator[bytes]:
     yield body
 
 
@@ -297,16 +309,18 @@
     )
 
 
-def _after_attempts(refusal: Refusal, tried: Sequence[Attempt]) -> Refusal:
+def _with_attempt_verdicts(refusal: Refusal, failed_attempts: Sequence[FailedAttempt]) -> Refusal:
     """A refusal after failed attempts can't claim more than the attempts allow."""
-    if all(attempt.failure.verdict is Verdict.NOT_RUN for attempt in tried):
+    if all(attempt.failure.verdict is Verdict.NOT_RUN for attempt in failed_attempts):
         return refusal
     return refusal._replace(verdict=Verdict.MAY_HAVE_RUN)
 
 
-def _failed(failure: BackendFailure, tried: Sequence[Attempt]) -> Refusal:
+def _failed(failure: BackendFailure, failed_attempts: Sequence[FailedAttempt]) -> Refusal:
     timed_out = failure.reason == "timeout"
-    servers = ", ".join(f"{attempt.server.address} {attempt.failure.reason}" for attempt in tried)
+    servers = ", ".join(
+        f"{attempt.server.address} {attempt.failure.reason}" for attempt in failed_attempts
+    )
     refusal = Refusal(
         HTTPStatus.GATEWAY_TIMEOUT if timed_out else HTTPStatus.BAD_GATEWAY,
         RefusalCode.DEADLINE_PASSED if timed_out else RefusalCode.BACKEND_FAILED,
@@ -316,4 +330,4 @@
     )
     if failure.shed:
         refusal = refusal._replace(status=HTTPStatus.SERVICE_UNAVAILABLE, code=RefusalCode.NO_SLOT)
-    return _after_attempts(refusal, tried)
+    return _with_attempt_verdicts(refusal, failed_attempts)
--- a/src/wagtailpoint/entry/hedging.py
+++ b/src/wagtailpoint/entry/hedging.py
@@ -9,14 +9,14 @@
 from wagtailpoint.entry.plan import Plan
 from wagtailpoint.ports.backend import BackendFailure, BackendResponse, BodyBroken
 
-SLOW_PART: Final = 0.05
+SLOW_FRACTION: Final = 0.05
 """A request is slow if it takes longer than 95 % of those before it."""
 
-STEP: Final = 0.05
-FIRST_GUESS_S: Final = 0.1
-LEAST_DELAY_S: Final = 0.002
+DELAY_STEP: Final = 0.05
+INITIAL_DELAY_S: Final = 0.1
+MIN_DELAY_S: Final = 0.002
 
-BUDGET_KEPT: Final = 0.5
+BUDGET_RESERVED_FOR_RETRIES: Final = 0.5
 """So much of the retry budget is left to retries: a copy of a slow request is a gain, but that of a
 failed one is an answer instead of none."""
 
@@ -34,12 +34,12 @@
 
     def delay_s(self, pool: str) -> float:
         """Seconds after the dispatch of the first copy."""
-        return self._delays.get(pool, FIRST_GUESS_S)
+        return self._delays.get(pool, INITIAL_DELAY_S)
 
-    def note(self, pool: str, *, slow: bool) -> None:
+    def record(self, pool: str, *, slow: bool) -> None:
         """Learn from one request, whether it took longer than the delay."""
-        step = 1 + STEP * (1 - SLOW_PART) if slow else 1 - STEP * SLOW_PART
-        self._delays[pool] = max(LEAST_DELAY_S, self.delay_s(pool) * step)
+        step = 1 + DELAY_STEP * (1 - SLOW_FRACTION) if slow else 1 - DELAY_STEP * SLOW_FRACTION
+        self._delays[pool] = max(MIN_DELAY_S, self.delay_s(pool) * step)
 
 
 def may_hedge(plan: Plan) -> bool:
@@ -48,7 +48,7 @@
     return plan.route.idempotent and not plan.route.bulk and plan.policy.priority == most_urgent
 
 
-class Copy(Protocol):
+class SendCopy(Protocol):
     """Sends one copy on a slot and gives its response to a sink."""
 
     async def __call__(
@@ -58,7 +58,7 @@
         ...
 
 
-class Race:
+class HedgedExchange:
     """One request with up to two copies; the first response is passed on, the other copy cut off.
 
     Cutting off closes its connection, so that a late answer reaches nobody.
@@ -67,22 +67,22 @@
     def __init__(
         self,
         *,
-        copy: Copy,
+        send_copy: SendCopy,
         sink: Callable[[BackendResponse], Awaitable[None]],
-        second: Callable[[], Slot | None],
+        take_second_slot: Callable[[], Slot | None],
         delay_s: float,
     ) -> None:
         """Prepare it.
 
         Args:
-            copy: Sends a copy.
+            send_copy: Sends a copy.
             sink: Takes the response of the first that has one.
-            second: Gives the second copy's slot, when the first has been slow; None to leave it.
+            take_second_slot: Gives the second copy's slot when the first was slow, or None.
             delay_s: When that is, in seconds after the start.
         """
-        self._copy = copy
+        self._send_copy = send_copy
         self._sink = sink
-        self._second = second
+        self._take_second_slot = take_second_slot
         self._delay_s = delay_s
         self._scopes = (trio.CancelScope(), trio.CancelScope())
         self._in_flight = 0
@@ -108,15 +108,17 @@
         with self._scopes[1]:
             await trio.sleep(self._delay_s)
             self.slow = True
-            slot = self._second()
+            slot = self._take_second_slot()
             if slot is not None:
                 await self._send(1, slot)
 
-    async def _send(self, place: int, slot: Slot) -> None:
+    async def _send(self, index: int, slot: Slot) -> None:
         self._in_flight += 1
         try:
-            with self._scopes[0] if place == 0 else trio.CancelScope():
-                failure = await self._copy(slot, lambda response: self._pass_on(place, response))
+            with self._scopes[0] if index == 0 else trio.CancelScope():
+                failure = await self._send_copy(
+                    slot, lambda response: self._pass_on(index, response)
+                )
                 if failure is not None:
                     self.failures.append((slot, failure))
         except BodyBroken as error:
@@ -127,10 +129,10 @@
                 # The first has ended before the second began: there is nothing left to wait for.
                 self._scopes[1].cancel()
 
-    async def _pass_on(self, place: int, response: BackendResponse) -> None:
+    async def _pass_on(self, index: int, response: BackendResponse) -> None:
         if self.answered:
             # Cut off by the other one already, and about to notice.
             await trio.sleep_forever()
         self.answered = True
-        self._scopes[1 - place].cancel()
+        self._scopes[1 - index].cancel()
         await self._sink(response)
--- a/src/wagtailpoint/entry/plan.py
+++ b/src/wagtailpoint/entry/plan.py
@@ -12,7 +12,7 @@
 from wagtailpoint.entry.request import CallerRequest, header_value
 from wagtailpoint.entry.routing import find_route
 
-MOST_DEADLINE_DIGITS = 12
+MAX_DEADLINE_DIGITS = 12
 
 BAD_REQUEST_RETRY_AFTER_S = 60.0
 """A request that breaks the interface is as wrong a second later; come back after a change."""
@@ -66,7 +66,7 @@
     route = find_route(workspace, method=request.method, path=request.path)
     if route is None:
         return Err(_no_route(workspace, request))
-    timeout = _timeout(route, request)
+    timeout = _timeout_s(route, request)
     if isinstance(timeout, Err):
         return timeout
     service = config.services[route.service]
@@ -87,13 +87,13 @@
     return f"{request.client} {request.path} {key}"
 
 
-def _timeout(route: Route, request: CallerRequest) -> Result[float, Refusal]:
+def _timeout_s(route: Route, request: CallerRequest) -> Result[float, Refusal]:
     """The shorter of the caller's remaining time and the route's timeout, in seconds."""
     text = header_value(request.headers, names.DEADLINE_MS)
     if text is None:
         return Ok(route.timeout_s)
     # Python refuses to convert thousands of digits; no caller waits for 30 years.
-    if not text.isascii() or not text.isdigit() or len(text) > MOST_DEADLINE_DIGITS:
+    if not text.isascii() or not text.isdigit() or len(text) > MAX_DEADLINE_DIGITS:
         return Err(_bad_deadline(text))
     return Ok(min(route.timeout_s, int(text) / 1000))
 
--- a/src/wagtailpoint/entry/refusals.py
+++ b/src/wagtailpoint/entry/refusals.py
@@ -20,12 +20,12 @@
     )
 
 
-def too_large(most_bytes: int) -> Refusal:
+def too_large(max_bytes: int) -> Refusal:
     """The body is longer than this instance takes."""
     return refuse(
         HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
         RefusalCode.BODY_TOO_LARGE,
-        f"given a body over {most_bytes} bytes, the most that this entry takes",
+        f"given a body over {max_bytes} bytes, the most that this entry takes",
         BAD_REQUEST_RETRY_AFTER_S,
     )
 
--- a/src/wagtailpoint/entry/service.py
+++ b/src/wagtailpoint/entry/service.py
@@ -50,7 +50,7 @@
 """So much of a request body is read before a slot is taken: a caller that sends nothing holds none,
 and a body that ends within it can be sent again. The rest of a longer one is streamed and can't."""
 
-MOST_KEYED_ANSWER_BYTES = 8 * 1024 * 1024
+MAX_KEYED_ANSWER_BYTES = 8 * 1024 * 1024
 """The whole answer to a keyed request is held while it runs, for the copies that join it."""
 
 JOIN_GRACE_S = 1.0
@@ -58,7 +58,7 @@
 who wait for it no longer than their deadline (in seconds) would be told that it may have run."""
 
 
-Planned = Result[Plan, Refusal]
+PlanResult = Result[Plan, Refusal]
 
 
 class ReadBody(NamedTuple):
@@ -141,7 +141,7 @@
             return await send_refusal(sink, planned.err_value, None)
         return await self._handle_plain(planned.ok_value, request, sink)
 
-    def _plan(self, request: CallerRequest) -> Planned:
+    def _plan(self, request: CallerRequest) -> PlanResult:
         refusal = self._gate.refusal()
         if refusal is not None:
             return Err(refusal)
@@ -167,12 +167,12 @@
         async def pass_on(response: BackendResponse) -> None:
             nonlocal status
             status = response.status
-            left = int(header_value(response.headers, b"content-length") or -1)
+            bytes_left = int(header_value(response.headers, b"content-length") or -1)
             await sink.begin(status=status, headers=response.headers, verdict=Verdict.RAN)
             async for chunk in response.body:
                 await sink.send(chunk)
-                left -= len(chunk)
-                if left == 0:
+                bytes_left -= len(chunk)
+                if bytes_left == 0:
                     whole_reply.shield = True
             whole_reply.shield = True
 
@@ -182,22 +182,22 @@
                     plan=plan,
                     request=request,
                     body=body if rest is None else None,
-                    stream=None if rest is None else _joined(body, rest),
-                    fingerprint=_fingerprint(plan, request, body),
+                    stream=None if rest is None else _chain_body(body, rest),
+                    fingerprint=_request_fingerprint(plan, request, body),
                 )
                 outcome = await self._forwarder.forward(planned, sink=pass_on)
         except (BodyTooLarge, BodyTooSlow) as error:
             # A part of the body has gone to the backend server already.
-            refusal = self._bad_body(error)._replace(verdict=Verdict.MAY_HAVE_RUN)
+            refusal = self._body_refusal(error)._replace(verdict=Verdict.MAY_HAVE_RUN)
             return await send_refusal(sink, refusal, plan)
         if isinstance(outcome, Err):
             return await send_refusal(sink, outcome.err_value, plan)
         return CompletedRequest(plan, status, Verdict.RAN, "ok")
 
     async def _handle_keyed(
-        self, request: CallerRequest, key: RequestKey, sink: ReplySink, planned: Planned
+        self, request: CallerRequest, key: RequestKey, sink: ReplySink, planned: PlanResult
     ) -> CompletedRequest:
-        parsed = _binding(request)
+        parsed = _parse_binding_header(request)
         if isinstance(parsed, Err):
             return await send_refusal(sink, parsed.err_value, planned.ok())
         binding = parsed.ok_value
@@ -208,16 +208,16 @@
         if isinstance(read, Err):
             return await self._refuse_keyed(key, binding, read.err_value, sink, plan)
         body, _ = read.ok_value
-        mark = _fingerprint(plan, request, body)
-        begun = self._keys.begin(key, mark, binding)
+        digest = _request_fingerprint(plan, request, body)
+        begun = self._keys.begin(key, digest, binding)
         if isinstance(begun, Run):
             # The key is in flight from here on; every way out of the attempt finishes it.
-            attempted = PlannedRequest(plan, request, body, None, mark)
+            attempted = PlannedRequest(plan, request, body, None, digest)
             self._nursery.start_soon(self._attempt, key, attempted, binding)
-            begun = self._keys.begin(key, mark, binding)
+            begun = self._keys.begin(key, digest, binding)
         if isinstance(begun, Reject) and begun.refusal.code is RefusalCode.OTHER_INCARNATION:
             assert binding is not None
-            remaining_s = self._forwarder.remaining(plan)
+            remaining_s = self._forwarder.remaining_s(plan)
             outcome = await self._bound_entries.settle(key, binding, wait_s=remaining_s)
             if outcome is not None:
                 return await send_outcome(sink, outcome, plan)
@@ -229,7 +229,7 @@
         match begun:
             case Join(attempt):
                 outcome: Outcome = MayHaveRun("still in flight at the deadline")
-                with trio.move_on_after(self._forwarder.remaining(plan) + JOIN_GRACE_S):
+                with trio.move_on_after(self._forwarder.remaining_s(plan) + JOIN_GRACE_S):
                     outcome = await attempt.wait()
                 return await send_outcome(sink, outcome, plan)
             case Replay(answer):
@@ -291,19 +291,19 @@
         answers: list[Answered] = []
 
         async def collect(response: BackendResponse) -> None:
-            answers.append(await _collected(response))
+            answers.append(await _collect_answer(response))
 
         outcome = await self._forwarder.forward(planned, sink=collect)
         if isinstance(outcome, Ok):
             return answers[0]
         if binding is None and outcome.err_value.verdict is Verdict.NOT_RUN:
             await self._claims.release(key)
-        return _outcome_of(outcome.err_value)
+        return _outcome_from_refusal(outcome.err_value)
 
     async def _claim(self, key: RequestKey, plan: Plan) -> Outcome | None:
         """Claim a key that came without a binding; None if this process may run it."""
         claimed: Claimed | NotClaimed = NotClaimed(refusals.claim_timed_out(), None)
-        with trio.move_on_after(self._forwarder.remaining(plan)):
+        with trio.move_on_after(self._forwarder.remaining_s(plan)):
             claimed = await self._claims.claim(key)
         if isinstance(claimed, Claimed):
             return None
@@ -311,48 +311,48 @@
         if claimed.holder is not None:
             # Another copy has the claim: its answer is this one's, too.
             outcome = await self._bound_entries.await_claimed(
-                key, claimed.holder["incarnation"], wait_s=self._forwarder.remaining(plan)
+                key, claimed.holder["incarnation"], wait_s=self._forwarder.remaining_s(plan)
             )
-        return outcome if outcome is not None else _outcome_of(claimed.refusal)
+        return outcome if outcome is not None else _outcome_from_refusal(claimed.refusal)
 
     async def _read_body(
-        self, deadline: float, request: CallerRequest, most_bytes: int
+        self, deadline: float, request: CallerRequest, max_bytes: int
     ) -> Result[ReadBody, Refusal]:
         """Read the body, up to a size, within the deadline."""
         if request.body is None:
             return Ok(ReadBody(b"", None))
         parts = bytearray()
-        with trio.move_on_after(self._forwarder.until(deadline)) as scope:
+        with trio.move_on_after(self._forwarder.seconds_until(deadline)) as scope:
             try:
                 async for part in request.body:
                     parts += part
-                    if len(parts) > most_bytes:
+                    if len(parts) > max_bytes:
                         return Ok(ReadBody(bytes(parts), request.body))
             except (BodyTooLarge, BodyTooSlow) as error:
-                return Err(self._bad_body(error))
+                return Err(self._body_refusal(error))
         if scope.cancelled_caught:
             return Err(refusals.body_too_late())
         return Ok(ReadBody(bytes(parts), None))
 
-    def _bad_body(self, error: BodyTooLarge | BodyTooSlow) -> Refusal:
+    def _body_refusal(self, error: BodyTooLarge | BodyTooSlow) -> Refusal:
         if isinstance(error, BodyTooLarge):
             return refusals.too_large(self._max_body_bytes)
         return refusals.body_too_slow()
 
 
-def _fingerprint(plan: Plan, request: CallerRequest, body: bytes) -> str:
+def _request_fingerprint(plan: Plan, request: CallerRequest, body: bytes) -> str:
     return fingerprint(
         method=request.method, host=plan.workspace.name, target=request.target, body=body
     )
 
 
-async def _joined(first: bytes, rest: AsyncIterator[bytes]) -> AsyncIterator[bytes]:
+async def _chain_body(first: bytes, rest: AsyncIterator[bytes]) -> AsyncIterator[bytes]:
     yield first
     async for part in rest:
         yield part
 
 
-def _binding(request: CallerRequest) -> Result[Binding | None, Refusal]:
+def _parse_binding_header(request: CallerRequest) -> Result[Binding | None, Refusal]:
     text = header_value(request.headers, names.BINDING)
     if text is None:
         return Ok(None)
@@ -366,17 +366,17 @@
     return Err(refusal)
 
 
-async def _collected(response: BackendResponse) -> Answered:
+async def _collect_answer(response: BackendResponse) -> Answered:
     parts = bytearray()
     async for chunk in response.body:
-        if len(parts) + len(chunk) > MOST_KEYED_ANSWER_BYTES:
+        if len(parts) + len(chunk) > MAX_KEYED_ANSWER_BYTES:
             # The request ran; only its answer is lost, and the repeat is told so.
             return Answered(response.status, response.headers, None)
         parts += chunk
     return Answered(response.status, response.headers, bytes(parts))
 
 
-def _outcome_of(refusal: Refusal) -> Outcome:
+def _outcome_from_refusal(refusal: Refusal) -> Outcome:
     if refusal.verdict is Verdict.NOT_RUN:
         return NotRun(refusal)
     return MayHaveRun(refusal.reason)
