--- a/src/wagtailpoint/entry/__init__.py
+++ b/src/wagtailpoint/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry: takes a caller's request, admits it, forwards it and returns the answer."""
+"""The entry: admits callers' requests, forwards them to backend servers and returns responses."""
--- a/src/wagtailpoint/entry/crash_detector.py
+++ b/src/wagtailpoint/entry/crash_detector.py
@@ -1,4 +1,4 @@
-"""Whether a backend server crashed while it had a request of this instance."""
+"""Detects crashes of backend servers that had a request of this instance."""
 
 from typing import Final
 
@@ -14,23 +14,24 @@
 CHECK_TIMEOUT_S: Final = 0.3
 
 SAME_CRASH_WINDOW_S: Final = 1.0
-"""Ends of one backend server that were noticed within so many seconds are one. The configuration
-names it by its address, which stays the same when it starts again."""
+"""Crashes of a backend server detected within this time count as one. The configuration identifies
+a backend server only by its address, which stays the same after a restart."""
 
 
 class CrashDetector:
-    """Tells the quarantine of crashes.
+    """Reports crashes of backend servers to the quarantine.
 
-    A connection alone may end for many reasons; where nobody listens any more, all have.
+    A reset of a single connection has many possible causes. A refused connection shows that the
+    backend server itself has ended.
     """
 
     def __init__(self, *, backends: Backends, quarantine: Quarantine, clock: Clock) -> None:
-        """Make it.
+        """Initialise the detector.
 
         Args:
-            backends: Asked whether a backend server still listens.
-            quarantine: Is told of crashes.
-            clock: Tells one crash of a backend server from the next.
+            backends: Probes whether a backend server still accepts connections.
+            quarantine: Records crashes.
+            clock: Gives the times by which crashes of a backend server are distinguished.
         """
         self._backends = backends
         self._quarantine = quarantine
@@ -40,7 +41,7 @@
     async def report_if_crashed(
         self, planned: PlannedRequest, server: BackendServer, failure: BackendFailure
     ) -> None:
-        """Take note of a crash if the backend server is gone with the connection."""
+        """Report a crash if the backend server refuses connections after a reset."""
         if failure.reason != FailureReason.RESET:
             return
         plan, request = planned.plan, planned.request
--- a/src/wagtailpoint/entry/forwarding.py
+++ b/src/wagtailpoint/entry/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding of one admitted request: slot, exchange, retry, until a response or a failure."""
+"""Forwards admitted requests to backend servers, with slots, retries and hedging."""
 
 import secrets
 from collections.abc import AsyncIterator, Callable, Sequence
@@ -48,40 +48,40 @@
 
 
 class ResponseSink(Protocol):
-    """Takes the response while the exchange is open."""
+    """Receives the response while the exchange is open."""
 
     async def __call__(self, response: BackendResponse) -> None:
-        """Pass the response on, whole."""
+        """Forward the complete response."""
         ...
 
 
 class ServerSource(Protocol):
-    """Which backend servers take new work of a request, and what became of it there."""
+    """Selects the backend servers for a request and records the outcomes of exchanges."""
 
     def pool(self, plan: Plan) -> str:
-        """Names the candidates: requests with the same ones wait in one line."""
+        """Return the name of the slot pool; requests with the same candidates share one queue."""
         ...
 
     def choice(self, plan: Plan) -> ServerChoice:
-        """The choice among the backend servers that may take it."""
+        """Return the choice among the backend servers that may take the request."""
         ...
 
     def record_outcome(
         self, server: BackendServer, answered: BackendResponse | BackendFailure, latency_s: float
     ) -> None:
-        """Take note of how an exchange ended; ``latency_s`` until the response's headers."""
+        """Record the outcome of an exchange and the latency until the response headers."""
         ...
 
 
 class FailedAttempt(NamedTuple):
-    """One exchange that was made."""
+    """An exchange that failed."""
 
     server: BackendServer
     failure: BackendFailure
 
 
 class Forwarder:
-    """Sends a request to backend servers until it is answered or may not be tried again."""
+    """Sends a request to backend servers until it is answered or must not be retried."""
 
     def __init__(
         self,
@@ -105,20 +105,20 @@
         self._observer = observer
 
     def remaining_s(self, plan: Plan) -> float:
-        """Seconds left until the request's deadline, never negative."""
+        """Return the seconds left until the request's deadline, at least 0."""
         return self.seconds_until(plan.deadline)
 
     def seconds_until(self, deadline: float) -> float:
-        """Seconds left until a time of the monotonic clock, never negative."""
+        """Return the seconds left until a time of the monotonic clock, at least 0."""
         return max(0.0, deadline - self._clock.monotonic())
 
     async def forward(
         self, planned: PlannedRequest, *, sink: ResponseSink
     ) -> Result[None, Refusal]:
-        """Forward a request; ``sink`` takes the response.
+        """Forward a request and pass the response to ``sink``.
 
         Raises:
-            BodyBroken: The response broke off after the sink had begun.
+            BodyBroken: The response was truncated after the sink had been called.
         """
         answered = False
         try:
@@ -137,12 +137,13 @@
             if self._quarantine.admission(fingerprint) is Admission.QUARANTINED:
                 return Err(_with_attempt_verdicts(_quarantined(), failed_attempts))
             admitted = await self._slots.acquire(
-                self._demand(plan, [attempt.server for attempt in failed_attempts])
+                self._demand(plan, [failed.server for failed in failed_attempts])
             )
             if isinstance(admitted, Err):
                 return Err(_with_attempt_verdicts(admitted.err_value, failed_attempts))
             slot = admitted.ok_value
-            # It may have waited for its slot while others like it crashed what they met.
+            # Checked again: while this request waited for its slot, requests with the same
+            # fingerprint may have crashed backend servers.
             admission = self._quarantine.admission(fingerprint)
             if admission is not Admission.ADMITTED:
                 self._slots.release(slot)
@@ -153,7 +154,7 @@
                     )
                 )
             if self.remaining_s(plan) < MIN_EXCHANGE_S:
-                # Sent now, it would only be cut off, with an outcome that nobody knows.
+                # The exchange would be cut off at the deadline with an unknown outcome.
                 self._slots.release(slot)
                 return Err(_with_attempt_verdicts(_deadline_passed(), failed_attempts))
             send = partial(self._send, planned)
@@ -173,7 +174,7 @@
                 remaining_s=self.remaining_s(plan),
                 budget=budget,
             )
-            # A streamed body has been read in part by the first attempt: it can't be sent again.
+            # A streamed body was partly consumed by the first attempt and can't be sent again.
             again = decision.allowed and planned.stream is None
             again = again and self._quarantine.allows_retry(fingerprint)
             for attempt in new_failures:
@@ -186,14 +187,14 @@
     async def _send_one(
         self, send: SendCopy, slot: Slot, sink: ResponseSink
     ) -> list[FailedAttempt]:
-        """Send it once; return the attempt if it failed."""
+        """Send the request once; return the failed attempt, or an empty list on success."""
         failure = await send(slot, sink)
         return [] if failure is None else [FailedAttempt(slot.server, failure)]
 
     async def _send_hedged(
         self, send: SendCopy, slot: Slot, sink: ResponseSink, plan: Plan
     ) -> list[FailedAttempt]:
-        """Send a second copy when the first is slow; return the attempts if all failed."""
+        """Send a hedged request if the first is slow; return the failed attempts if all failed."""
         hedged = HedgedExchange(
             send_copy=send,
             sink=sink,
@@ -209,11 +210,12 @@
     def _is_hedged(self, planned: PlannedRequest, slot: Slot) -> bool:
         if planned.stream is not None or self._quarantine.crashes(planned.fingerprint):
             return False
-        # Under overload no second copy would be sent; preparing for one costs processor time.
+        # Under overload no slot is idle, so that no hedged request could be sent, and preparing for
+        # one costs processor time.
         return may_hedge(planned.plan) and self._slots.has_idle(slot.pool)
 
     def _second_slot(self, plan: Plan, first: Slot) -> Slot | None:
-        """A slot for a second copy; only an idle one, and out of the retry budget."""
+        """Take an idle slot for a hedged request, which is charged to the retry budget."""
         if not self._slots.has_idle(first.pool) or self.remaining_s(plan) < MIN_EXCHANGE_S:
             return None
         if not self._budget(plan).take(reserve_fraction=BUDGET_RESERVED_FOR_RETRIES):
@@ -270,7 +272,7 @@
         method=request.method,
         target=request.target,
         headers=without_headers(request.headers, NOT_FORWARDED),
-        # None and not an empty body: a GET would else be sent as chunked.
+        # With an empty iterator instead of None, a GET would be sent with chunked encoding.
         body=_single_chunk(planned.body) if planned.body else planned.stream,
         deadline_s=remaining_s,
         idempotent=plan.route.idempotent,
@@ -286,7 +288,7 @@
     return refuse(
         HTTPStatus.SERVICE_UNAVAILABLE,
         RefusalCode.QUARANTINED,
-        "backend servers crashed while they ran this request; it is kept from them",
+        "backend servers crashed while they ran this request; it is quarantined",
         QUARANTINED_RETRY_AFTER_S,
     )
 
@@ -295,7 +297,7 @@
     return refuse(
         HTTPStatus.SERVICE_UNAVAILABLE,
         RefusalCode.NO_SLOT,
-        "backend servers crashed while they ran this request, and others like it are under way",
+        "backend servers crashed while they ran this request, and identical requests are in flight",
         FAILED_RETRY_AFTER_S,
     )
 
@@ -310,7 +312,7 @@
 
 
 def _with_attempt_verdicts(refusal: Refusal, failed_attempts: Sequence[FailedAttempt]) -> Refusal:
-    """A refusal after failed attempts can't claim more than the attempts allow."""
+    """Return the refusal with verdict ``MAY_HAVE_RUN`` if any failed attempt may have run."""
     if all(attempt.failure.verdict is Verdict.NOT_RUN for attempt in failed_attempts):
         return refusal
     return refusal._replace(verdict=Verdict.MAY_HAVE_RUN)
--- a/src/wagtailpoint/entry/gate.py
+++ b/src/wagtailpoint/entry/gate.py
@@ -1,4 +1,4 @@
-"""The gate: how many requests are open, and whether new ones are still let in."""
+"""The request gate: counts open requests and decides whether new ones are accepted."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -13,10 +13,10 @@
 
 
 class RequestGate:
-    """Counts the open requests of this instance and closes when it stops."""
+    """Counts the open requests of this instance and refuses new ones while it stops."""
 
     def __init__(self, *, max_open_requests: int) -> None:
-        """Make an open gate.
+        """Initialise an open gate.
 
         Args:
             max_open_requests: New requests are refused beyond this number of open ones. Each holds
@@ -29,16 +29,16 @@
 
     @property
     def open_requests(self) -> int:
-        """Requests that have not been answered to the end."""
+        """The number of requests without a complete reply."""
         return self._open
 
     @property
     def closed(self) -> bool:
-        """Whether new requests are refused because the instance stops."""
+        """Whether new requests are refused because the instance is stopping."""
         return self._closed
 
     def refusal(self) -> Refusal | None:
-        """Why a new request is refused; None if it is let in."""
+        """Return the refusal of a new request, or None if it is accepted."""
         if self._closed:
             return refuse(
                 HTTPStatus.SERVICE_UNAVAILABLE,
@@ -57,7 +57,7 @@
 
     @contextmanager
     def counted(self) -> Iterator[None]:
-        """Count a request, or a keyed attempt that outlives its caller, as open."""
+        """Count a request, or a keyed attempt that continues without its caller, as open."""
         self._open += 1
         try:
             yield
--- a/src/wagtailpoint/entry/hedging.py
+++ b/src/wagtailpoint/entry/hedging.py
@@ -1,4 +1,4 @@
-"""Hedging: a second copy of a slow, urgent, idempotent request, to another backend server."""
+"""Hedging: sends a slow, urgent, idempotent request to a second backend server."""
 
 from collections.abc import Awaitable, Callable
 from typing import Final, Protocol
@@ -10,58 +10,64 @@
 from wagtailpoint.ports.backend import BackendFailure, BackendResponse, BodyBroken
 
 SLOW_FRACTION: Final = 0.05
-"""A request is slow if it takes longer than 95 % of those before it."""
+"""Fraction of requests that count as slow: those above the 95th percentile of the latency."""
 
 DELAY_STEP: Final = 0.05
 INITIAL_DELAY_S: Final = 0.1
 MIN_DELAY_S: Final = 0.002
 
 BUDGET_RESERVED_FOR_RETRIES: Final = 0.5
-"""So much of the retry budget is left to retries: a copy of a slow request is a gain, but that of a
-failed one is an answer instead of none."""
+"""Fraction of the retry budget that hedged requests leave to retries: a hedged request only reduces
+the latency, while a retry may turn a failure into an answer."""
 
 
 class HedgeDelays:
-    """How long to wait before a second copy, for each pool.
+    """Estimates the delay before a hedged request, for each slot pool.
 
-    The 95th percentile, followed by small steps: up when a request was slower, down when not. An
-    exchange that was cut off since its copy won counts as slower; a histogram of the times of those
-    that ended would leave out the slow ones, and its percentile would fall and fall.
+    The delay approximates the 95th percentile of the latency. It is raised by a small step after a
+    slower request and lowered after a faster one. An exchange that was cancelled because the hedged
+    request was answered first counts as slower. A histogram of completed exchanges would omit these
+    slow ones, so that its percentile would fall continuously.
     """
 
     def __init__(self) -> None:
         self._delays: dict[str, float] = {}
 
     def delay_s(self, pool: str) -> float:
-        """Seconds after the dispatch of the first copy."""
+        """Return the delay after the first send, in seconds."""
         return self._delays.get(pool, INITIAL_DELAY_S)
 
     def record(self, pool: str, *, slow: bool) -> None:
-        """Learn from one request, whether it took longer than the delay."""
+        """Record whether a request took longer than the delay."""
         step = 1 + DELAY_STEP * (1 - SLOW_FRACTION) if slow else 1 - DELAY_STEP * SLOW_FRACTION
         self._delays[pool] = max(MIN_DELAY_S, self.delay_s(pool) * step)
 
 
 def may_hedge(plan: Plan) -> bool:
-    """Whether a request is worth and may have a second copy: idempotent, most urgent, short."""
+    """Whether a request may be hedged: it is idempotent, not bulk, and of the highest priority."""
     most_urgent = min(policy.priority for policy in plan.service.classes.values())
     return plan.route.idempotent and not plan.route.bulk and plan.policy.priority == most_urgent
 
 
 class SendCopy(Protocol):
-    """Sends one copy on a slot and gives its response to a sink."""
+    """Sends a request on a slot and passes the response to a sink."""
 
     async def __call__(
         self, slot: Slot, sink: Callable[[BackendResponse], Awaitable[None]]
     ) -> BackendFailure | None:
-        """Exchange it, then release the slot; return the failure if there is no response."""
+        """Send the request and release the slot; return the failure if there is no response."""
         ...
 
 
 class HedgedExchange:
-    """One request with up to two copies; the first response is passed on, the other copy cut off.
+    """Sends a request up to twice, forwards the first response and cancels the other exchange.
 
-    Cutting off closes its connection, so that a late answer reaches nobody.
+    Cancelling an exchange closes its connection, so that its late response is discarded.
+
+    Attributes:
+        slow: Whether the first exchange took longer than the delay.
+        answered: Whether a response was forwarded.
+        failures: The slots and failures of failed exchanges, in the order of their ends.
     """
 
     def __init__(
@@ -72,13 +78,13 @@
         take_second_slot: Callable[[], Slot | None],
         delay_s: float,
     ) -> None:
-        """Prepare it.
+        """Initialise the exchange.
 
         Args:
-            send_copy: Sends a copy.
-            sink: Takes the response of the first that has one.
-            take_second_slot: Gives the second copy's slot when the first was slow, or None.
-            delay_s: When that is, in seconds after the start.
+            send_copy: Sends the request on a slot.
+            sink: Receives the first response.
+            take_second_slot: Returns a slot for the hedged request, or None to send none.
+            delay_s: Delay before the hedged request, in seconds.
         """
         self._send_copy = send_copy
         self._sink = sink
@@ -92,15 +98,15 @@
         self.failures: list[tuple[Slot, BackendFailure]] = []
 
     async def run(self, slot: Slot) -> None:
-        """Run it; afterwards it is ``answered``, or has ``failures`` in their order.
+        """Run the exchange; afterwards either ``answered`` is true or ``failures`` is not empty.
 
         Raises:
-            BodyBroken: The response broke off after the sink had begun.
+            BodyBroken: The response was truncated after the sink had been called.
         """
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._send, 0, slot)
             nursery.start_soon(self._send_second)
-        # Raised here: out of the nursery it would come wrapped in a group.
+        # Raised outside the nursery, which would wrap it in an exception group.
         if self._broken is not None:
             raise self._broken
 
@@ -126,12 +132,12 @@
         finally:
             self._in_flight -= 1
             if not self._in_flight:
-                # The first has ended before the second began: there is nothing left to wait for.
+                # No exchange is left; if the hedged request was not sent yet, it is not needed.
                 self._scopes[1].cancel()
 
     async def _pass_on(self, index: int, response: BackendResponse) -> None:
         if self.answered:
-            # Cut off by the other one already, and about to notice.
+            # The other exchange has cancelled this one; wait for the cancellation.
             await trio.sleep_forever()
         self.answered = True
         self._scopes[1 - index].cancel()
--- a/src/wagtailpoint/entry/observer.py
+++ b/src/wagtailpoint/entry/observer.py
@@ -1,4 +1,4 @@
-"""Who is told what happens to a request."""
+"""The interface of observers of requests."""
 
 from typing import NamedTuple, Protocol
 
@@ -10,13 +10,13 @@
 
 
 class CompletedRequest(NamedTuple):
-    """What became of a request.
+    """A request that was replied to.
 
     Attributes:
-        plan: Where it went; None if it was refused before that was known.
+        plan: The plan of the request; None if it was refused before it was planned.
         status: HTTP status of the reply.
-        verdict: What the caller was told.
-        code: The refusal's code, ``ok`` for an answer.
+        verdict: The verdict in the reply.
+        code: The code of the refusal; ``ok`` for an answer.
     """
 
     plan: Plan | None
@@ -26,18 +26,18 @@
 
 
 class EntryObserver(Protocol):
-    """Is told what happens to a request."""
+    """Receives the events of requests."""
 
     def on_completed(self, request: CallerRequest, completed: CompletedRequest) -> None:
-        """The caller has its whole reply."""
+        """Handle a completed reply."""
         ...
 
     def on_reply_broken(self, request: CallerRequest, reason: str) -> None:
-        """The reply broke off after it had begun."""
+        """Handle a reply that was truncated after it had begun."""
         ...
 
     def on_abandoned(self, request: CallerRequest) -> None:
-        """The caller went away before its reply was whole."""
+        """Handle a caller that left before its reply was complete."""
         ...
 
     def on_exchange_failed(
@@ -48,9 +48,9 @@
         *,
         again: bool,
     ) -> None:
-        """One exchange gave no answer; ``again`` if the request is sent once more."""
+        """Handle a failed exchange; ``again`` tells whether the request is retried."""
         ...
 
     def on_keyed_attempt_ended(self, request: CallerRequest, outcome: Outcome) -> None:
-        """A keyed attempt ended, whoever still waited for it."""
+        """Handle the end of a keyed attempt, whether or not a caller still waits for it."""
         ...
--- a/src/wagtailpoint/entry/plan.py
+++ b/src/wagtailpoint/entry/plan.py
@@ -1,4 +1,4 @@
-"""What the configuration says about one request, worked out before anything is spent on it."""
+"""Plans requests: finds workspace, route, service and deadline before any resource is used."""
 
 from collections.abc import AsyncIterator
 from http import HTTPStatus
@@ -15,20 +15,20 @@
 MAX_DEADLINE_DIGITS = 12
 
 BAD_REQUEST_RETRY_AFTER_S = 60.0
-"""A request that breaks the interface is as wrong a second later; come back after a change."""
+"""An invalid request stays invalid until the caller or the configuration changes."""
 
 
 class Plan(NamedTuple):
-    """Where a request goes, and until when.
+    """The destination and the deadline of a request.
 
     Attributes:
         workspace: The caller's workspace.
-        route: The route it takes.
+        route: The route of the request.
         service: The service of the route.
-        policy: Its class.
-        deadline: By the monotonic clock.
-        affinity: The same for the same caller and thing asked for; a move keeps together what has
-            the same one.
+        policy: The policy of the request class.
+        deadline: Time of the monotonic clock, in seconds.
+        affinity: A key that is equal for requests of the same caller for the same path. During a
+            move, requests with the same affinity go to the same group.
     """
 
     workspace: Workspace
@@ -40,14 +40,14 @@
 
 
 class PlannedRequest(NamedTuple):
-    """A request on its way to a backend server.
+    """A request that is ready to be sent to a backend server.
 
     Attributes:
-        plan: Where it goes.
-        request: The request.
-        body: Its whole body, when it was read before; then it may be sent again.
-        stream: Else its body as it arrives, which can be sent just once.
-        fingerprint: Tells it, see ``wagtailpoint.fingerprint``.
+        plan: The plan of the request.
+        request: The caller's request.
+        body: The complete body if it was read ahead, so that it can be sent again; otherwise None.
+        stream: The body as it arrives if it was not read ahead; it can be sent only once.
+        fingerprint: Identifies equal requests, see ``wagtailpoint.fingerprint``.
     """
 
     plan: Plan
@@ -88,11 +88,11 @@
 
 
 def _timeout_s(route: Route, request: CallerRequest) -> Result[float, Refusal]:
-    """The shorter of the caller's remaining time and the route's timeout, in seconds."""
+    """Return the shorter of the caller's remaining time and the route's timeout, in seconds."""
     text = header_value(request.headers, names.DEADLINE_MS)
     if text is None:
         return Ok(route.timeout_s)
-    # Python refuses to convert thousands of digits; no caller waits for 30 years.
+    # ``int`` raises ValueError for more than 4300 digits; 12 digits allow for 30 years.
     if not text.isascii() or not text.isdigit() or len(text) > MAX_DEADLINE_DIGITS:
         return Err(_bad_deadline(text))
     return Ok(min(route.timeout_s, int(text) / 1000))
@@ -104,7 +104,7 @@
         return refuse(
             HTTPStatus.BAD_REQUEST, RefusalCode.BAD_REQUEST, reason, BAD_REQUEST_RETRY_AFTER_S
         )
-    # A workspace created a moment ago may not have reached this instance yet.
+    # A new workspace may not have reached this instance yet, so the caller may retry soon.
     return refuse(
         HTTPStatus.NOT_FOUND,
         RefusalCode.UNKNOWN_WORKSPACE,
--- a/src/wagtailpoint/entry/refusals.py
+++ b/src/wagtailpoint/entry/refusals.py
@@ -1,4 +1,4 @@
-"""The refusals of requests that were not sent to any backend server."""
+"""Refusals of requests that were not sent to any backend server."""
 
 from http import HTTPStatus
 
@@ -11,7 +11,7 @@
 
 
 def not_ready() -> Refusal:
-    """The instance has no configuration yet."""
+    """Return the refusal used before the instance has a configuration."""
     return refuse(
         HTTPStatus.SERVICE_UNAVAILABLE,
         RefusalCode.NOT_READY,
@@ -21,17 +21,17 @@
 
 
 def too_large(max_bytes: int) -> Refusal:
-    """The body is longer than this instance takes."""
+    """Return the refusal of a body over the size limit of this instance."""
     return refuse(
         HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
         RefusalCode.BODY_TOO_LARGE,
-        f"given a body over {max_bytes} bytes, the most that this entry takes",
+        f"given a request body of more than {max_bytes} bytes, the maximum of this entry",
         BAD_REQUEST_RETRY_AFTER_S,
     )
 
 
 def claim_timed_out() -> Refusal:
-    """The platform did not answer the claim of a key in time."""
+    """Return the refusal used when the platform did not answer the claim of a key in time."""
     return refuse(
         HTTPStatus.SERVICE_UNAVAILABLE,
         RefusalCode.PLATFORM_UNAVAILABLE,
@@ -42,7 +42,7 @@
 
 
 def body_too_late() -> Refusal:
-    """The deadline passed before the body was whole."""
+    """Return the refusal used when the deadline passed before the body was complete."""
     return refuse(
         HTTPStatus.REQUEST_TIMEOUT,
         RefusalCode.DEADLINE_PASSED,
@@ -52,7 +52,7 @@
 
 
 def body_too_slow() -> Refusal:
-    """The caller sends its body too slowly."""
+    """Return the refusal of a caller that sends its body too slowly."""
     return refuse(
         HTTPStatus.REQUEST_TIMEOUT,
         RefusalCode.BODY_TOO_SLOW,
--- a/src/wagtailpoint/entry/replies.py
+++ b/src/wagtailpoint/entry/replies.py
@@ -1,4 +1,4 @@
-"""How a reply is sent whole: a refusal, or an answer that was held."""
+"""Sends complete replies: refusals, and answers that were held in memory."""
 
 from wagtailpoint import headers as names
 from wagtailpoint.admission.refusal import Refusal
@@ -12,7 +12,7 @@
 async def send_outcome(sink: ReplySink, outcome: Outcome, plan: Plan | None) -> CompletedRequest:
     """Reply with the outcome of a keyed request."""
     if isinstance(outcome, NotRun):
-        # The first to be told, and those that joined it, get the refusal itself.
+        # The first caller and those that joined its attempt get the refusal unchanged.
         return await send_refusal(sink, outcome.refusal, plan)
     repeat = replay_outcome(outcome)
     if isinstance(repeat, Refusal):
@@ -21,7 +21,7 @@
 
 
 async def send_answer(sink: ReplySink, answer: Answered, plan: Plan | None) -> CompletedRequest:
-    """Reply with an answer that was held whole."""
+    """Reply with a complete answer held in memory."""
     await sink.begin(status=answer.status, headers=answer.headers, verdict=Verdict.RAN)
     await sink.send(answer.body or b"")
     return CompletedRequest(plan, answer.status, Verdict.RAN, "ok")
--- a/src/wagtailpoint/entry/request.py
+++ b/src/wagtailpoint/entry/request.py
@@ -1,4 +1,4 @@
-"""A caller's request and where its reply goes, independent of the HTTP library."""
+"""Callers' requests and the sinks for their replies, independent of the HTTP library."""
 
 from collections.abc import AsyncIterator, Sequence
 from typing import NamedTuple, Protocol
@@ -8,17 +8,17 @@
 
 
 class CallerRequest(NamedTuple):
-    """A request as it arrived.
+    """A received request.
 
     Attributes:
         method: For example ``GET``.
         path: The decoded path, for routing.
-        target: Path and query as they were written, for the backend server.
-        headers: All headers, names in lower case.
-        content_length: What the caller promised, in bytes; None when not said.
-        body: The body as it arrives, or None when there is none.
-        arrived_at: When its headers were complete, by the monotonic clock.
-        client: The IP number at the other end of the connection; empty if not known.
+        target: Path and query as received, for the backend server.
+        headers: All headers, with names in lower case.
+        content_length: The announced length of the body, in bytes; None if absent.
+        body: The body as it arrives; None if there is none.
+        arrived_at: Time of the monotonic clock at which the headers were complete, in seconds.
+        client: The IP number of the caller's end of the connection; empty if unknown.
     """
 
     method: str
@@ -32,10 +32,10 @@
 
 
 class ReplySink(Protocol):
-    """Where the reply to one request goes.
+    """Sends the reply to one request.
 
-    A reply that ends by an exception after ``begin`` is cut off visibly: the caller never takes a
-    short body for a whole one.
+    If an exception ends the reply after ``begin``, the connection is cut, so that the caller never
+    takes a truncated body for a complete one.
     """
 
     async def begin(self, *, status: int, headers: Headers, verdict: Verdict) -> None:
@@ -43,20 +43,20 @@
         ...
 
     async def send(self, data: bytes) -> None:
-        """Send a part of the body; waits while the caller reads slowly."""
+        """Send a part of the body, waiting while the caller reads slowly."""
         ...
 
 
 class BodyTooLarge(Exception):
-    """A request body over the limit of this instance's settings."""
+    """A request body exceeds the limit in this instance's settings."""
 
 
 class BodyTooSlow(Exception):
-    """A request body that its caller sends too slowly, or not at all."""
+    """A caller sends its request body too slowly or not at all."""
 
 
 def header_value(headers: Headers, name: bytes) -> str | None:
-    """The first value of a header, or None; ``name`` is in lower case."""
+    """Return the first value of a header, given its name in lower case; None if it is absent."""
     for known, value in headers:
         if known == name:
             return value.decode("latin-1")
@@ -64,5 +64,5 @@
 
 
 def without_headers(headers: Headers, names: Sequence[bytes]) -> list[tuple[bytes, bytes]]:
-    """The headers whose names are not among ``names``."""
+    """Return the headers whose names are not among ``names``."""
     return [(name, value) for name, value in headers if name not in names]
--- a/src/wagtailpoint/entry/routing.py
+++ b/src/wagtailpoint/entry/routing.py
@@ -1,4 +1,4 @@
-"""Which route of a workspace a request takes."""
+"""Finds the route of a request in a workspace."""
 
 from wagtailpoint.config.model import Route, Workspace
 
@@ -8,9 +8,10 @@
 
 
 def find_route(workspace: Workspace, *, method: str, path: str) -> Route | None:
-    """Find the route with the longest matching prefix; one that names the method wins a tie.
+    """Find the route with the longest matching prefix.
 
-    HEAD goes where GET goes (RFC 9110, section 9.3.2).
+    Of routes with the same prefix, one for a specific method takes precedence. HEAD requests use
+    the routes of GET (RFC 9110, section 9.3.2).
     """
     accepted = (None, method, "GET" if method == "HEAD" else method)
     matching = [
--- a/src/wagtailpoint/entry/service.py
+++ b/src/wagtailpoint/entry/service.py
@@ -1,4 +1,4 @@
-"""The entry's work on one request, from its headers to the end of its reply."""
+"""The entry service: processes a request from its headers to the end of its reply."""
 
 from collections.abc import AsyncIterator, Callable
 from http import HTTPStatus
@@ -47,26 +47,28 @@
 from wagtailpoint.verdict import Verdict
 
 READ_AHEAD_BYTES = 64 * 1024
-"""So much of a request body is read before a slot is taken: a caller that sends nothing holds none,
-and a body that ends within it can be sent again. The rest of a longer one is streamed and can't."""
+"""A request body is read up to this size before a slot is taken, so that a caller that sends no
+body holds no slot. A body within this size can be sent again; a longer one is streamed and can't.
+"""
 
 MAX_KEYED_ANSWER_BYTES = 8 * 1024 * 1024
-"""The whole answer to a keyed request is held while it runs, for the copies that join it."""
+"""The complete answer to a keyed request is held in memory for callers that join the attempt."""
 
 JOIN_GRACE_S = 1.0
-"""An attempt that is refused at its deadline ends after it, a busy process a while after it; those
-who wait for it no longer than their deadline (in seconds) would be told that it may have run."""
+"""Time beyond their deadline for which callers wait for an attempt they joined. An attempt that is
+refused at its deadline ends slightly later, and more so in a busy process. Callers that waited only
+until their deadline would be told that the request may have run."""
 
 
 PlanResult = Result[Plan, Refusal]
 
 
 class ReadBody(NamedTuple):
-    """A request body that was read.
+    """A request body that was read up to a size limit.
 
     Attributes:
-        read: What was read of it.
-        rest: The rest as it arrives; None if there is none.
+        read: The part that has been read.
+        rest: The rest as it arrives; None if ``read`` is the complete body.
     """
 
     read: bytes
@@ -74,7 +76,7 @@
 
 
 class EntryService:
-    """Takes requests from callers."""
+    """Serves callers' requests, with and without idempotency keys."""
 
     def __init__(
         self,
@@ -89,19 +91,19 @@
         observer: EntryObserver,
         max_body_bytes: int,
     ) -> None:
-        """Make the service.
+        """Initialise the service.
 
         Args:
-            config: What is in force now; None before there is any.
-            forwarder: Sends admitted requests.
-            keys: Remembers keyed requests.
-            claims: Claims keys that come without a binding.
-            bound_entries: Asks the instance that a key is bound to, when it is another one.
-            nursery: Runs keyed attempts, which outlive the connection of their first caller: a
-                repeat finds the attempt in flight or its answer, not a cancelled one.
-            gate: Counts the open requests and refuses new ones when the instance stops.
-            observer: Is told what becomes of each request.
-            max_body_bytes: The longest request body.
+            config: Returns the configuration in force; None before there is one.
+            forwarder: Forwards admitted requests to backend servers.
+            keys: Stores the state of keyed requests.
+            claims: Claims keys that arrive without a binding.
+            bound_entries: Queries the instance to which a key is bound if it is another one.
+            nursery: Runs keyed attempts. They continue after the connection of their first caller
+                has closed, so that a retry finds the attempt in flight or its answer.
+            gate: Counts open requests and refuses new ones while the instance stops.
+            observer: Receives the events of requests.
+            max_body_bytes: Maximum size of a request body.
         """
         self._config = config
         self._forwarder = forwarder
@@ -117,7 +119,8 @@
         """Reply to a request.
 
         Raises:
-            BodyBroken: The response broke off after the reply had begun; cut the connection.
+            BodyBroken: The response was truncated after the reply had begun; the connection must be
+                cut.
         """
         with self._gate.counted():
             try:
@@ -160,8 +163,8 @@
             return await send_refusal(sink, read.err_value, plan)
         body, rest = read.ok_value
         status = 0
-        # A caller may close its connection as soon as it has the last byte. That cancels this task,
-        # and a whole reply was then counted as abandoned, so nothing cancels what is left to do.
+        # A caller may close its connection as soon as it has the last byte, which cancels this task
+        # and would count a complete reply as abandoned. The rest of the work is therefore shielded.
         whole_reply = trio.CancelScope()
 
         async def pass_on(response: BackendResponse) -> None:
@@ -187,7 +190,7 @@
                 )
                 outcome = await self._forwarder.forward(planned, sink=pass_on)
         except (BodyTooLarge, BodyTooSlow) as error:
-            # A part of the body has gone to the backend server already.
+            # Part of the body has already been sent to the backend server.
             refusal = self._body_refusal(error)._replace(verdict=Verdict.MAY_HAVE_RUN)
             return await send_refusal(sink, refusal, plan)
         if isinstance(outcome, Err):
@@ -211,7 +214,7 @@
         digest = _request_fingerprint(plan, request, body)
         begun = self._keys.begin(key, digest, binding)
         if isinstance(begun, Run):
-            # The key is in flight from here on; every way out of the attempt finishes it.
+            # The key is now in flight; the attempt finishes it in every case.
             attempted = PlannedRequest(plan, request, body, None, digest)
             self._nursery.start_soon(self._attempt, key, attempted, binding)
             begun = self._keys.begin(key, digest, binding)
@@ -247,11 +250,11 @@
         sink: ReplySink,
         plan: Plan | None,
     ) -> CompletedRequest:
-        """Refuse one copy of a keyed request before its body is known.
+        """Refuse a keyed request before its body is known.
 
-        Its ``not-run`` is only true if no other copy runs, before or after: the key is forbidden
-        under this binding first. Otherwise a late copy could run after the caller, trusting the
-        refusal, has sent the request elsewhere.
+        The verdict ``not-run`` requires that no other copy of the request has run or will run, so
+        the key is first forbidden under this binding. Otherwise a delayed copy could run after the
+        caller, relying on the refusal, has sent the request elsewhere.
         """
         if binding is None:
             return await send_refusal(sink, refusal, plan)
@@ -268,14 +271,14 @@
     async def _attempt(
         self, key: RequestKey, planned: PlannedRequest, binding: Binding | None
     ) -> None:
-        """Run a keyed request to its end, whoever still waits for it."""
+        """Run a keyed request to its end, whether or not a caller still waits for it."""
         outcome: Outcome = MayHaveRun("the attempt was cut off")
         try:
             with self._gate.counted():
                 outcome = await self._run_keyed(key, planned, binding)
         except BodyBroken:
-            outcome = MayHaveRun("its answer broke off")
-        except Exception as error:  # noqa: BLE001 - one request's fault must not end the process
+            outcome = MayHaveRun("the answer of the backend server was truncated")
+        except Exception as error:  # noqa: BLE001 - one request's error must not end the process
             log_event("internal-error", level="ERROR", where="keyed attempt", error=repr(error))
         finally:
             self._keys.finish(key, outcome)
@@ -301,7 +304,7 @@
         return _outcome_from_refusal(outcome.err_value)
 
     async def _claim(self, key: RequestKey, plan: Plan) -> Outcome | None:
-        """Claim a key that came without a binding; None if this process may run it."""
+        """Claim a key that arrived without a binding; return None if this process may run it."""
         claimed: Claimed | NotClaimed = NotClaimed(refusals.claim_timed_out(), None)
         with trio.move_on_after(self._forwarder.remaining_s(plan)):
             claimed = await self._claims.claim(key)
@@ -309,7 +312,7 @@
             return None
         outcome: Outcome | None = None
         if claimed.holder is not None:
-            # Another copy has the claim: its answer is this one's, too.
+            # Another copy of the request holds the claim, and its answer applies to this one too.
             outcome = await self._bound_entries.await_claimed(
                 key, claimed.holder["incarnation"], wait_s=self._forwarder.remaining_s(plan)
             )
@@ -318,7 +321,7 @@
     async def _read_body(
         self, deadline: float, request: CallerRequest, max_bytes: int
     ) -> Result[ReadBody, Refusal]:
-        """Read the body, up to a size, within the deadline."""
+        """Read the body up to ``max_bytes`` before the deadline."""
         if request.body is None:
             return Ok(ReadBody(b"", None))
         parts = bytearray()
@@ -370,7 +373,7 @@
     parts = bytearray()
     async for chunk in response.body:
         if len(parts) + len(chunk) > MAX_KEYED_ANSWER_BYTES:
-            # The request ran; only its answer is lost, and the repeat is told so.
+            # The request ran; only its answer is not stored, and retries are told so.
             return Answered(response.status, response.headers, None)
         parts += chunk
     return Answered(response.status, response.headers, bytes(parts))
