--- a/tests/cover/test_backend_connection.py
+++ b/tests/cover/test_backend_connection.py
@@ -18,7 +18,7 @@
 from wagtailpoint.verdict import Verdict
 
 LIMIT_S = 20
-OWN = "X-Attempt-Id: a1"
+OWN_ID = "X-Attempt-Id: a1"
 
 
 def outgoing(request_id: str = "a1", *, body: bytes = b"", method: str = "GET") -> OutgoingRequest:
@@ -53,7 +53,7 @@
     def test_complete_response_is_accepted(self) -> None:
         async def script(stream: ScriptedStream) -> None:
             await stream.request()
-            await stream.send(response(b"hello", OWN, "X-Server-Load: 1,0,3"))
+            await stream.send(response(b"hello", OWN_ID, "X-Server-Load: 1,0,3"))
             await stream.request()
 
         (reply,) = exchange_all(script, outgoing())
@@ -70,9 +70,11 @@
 
         async def script(stream: ScriptedStream) -> None:
             await stream.request()
-            await stream.send(response(b"first", OWN))
+            await stream.send(response(b"first", OWN_ID))
             await stream.request()
-            await stream.send(response(b"first again", OWN) + response(b"mine", "X-Attempt-Id: a2"))
+            await stream.send(
+                response(b"first again", OWN_ID) + response(b"mine", "X-Attempt-Id: a2")
+            )
             await stream.request()
 
         _, reply = exchange_all(script, outgoing(), outgoing("a2"))
@@ -82,7 +84,7 @@
     def test_response_without_id_on_a_used_connection_is_rejected(self) -> None:
         async def script(stream: ScriptedStream) -> None:
             await stream.request()
-            await stream.send(response(b"first", OWN))
+            await stream.send(response(b"first", OWN_ID))
             await stream.request()
             await stream.send(response(b"whose?", "X-Not-Executed: 1", status="503 Full"))
 
@@ -93,7 +95,7 @@
     def test_truncated_body_is_rejected(self) -> None:
         async def script(stream: ScriptedStream) -> None:
             await stream.request()
-            await stream.send(response(b"0123456789", OWN)[:-3])
+            await stream.send(response(b"0123456789", OWN_ID)[:-3])
 
         (failed,) = exchange_all(script, outgoing())
         assert isinstance(failed, ExchangeFailed)
@@ -108,11 +110,11 @@
 
         async def clean(stream: ScriptedStream) -> None:
             await stream.request()
-            await stream.send(f"HTTP/1.1 200 OK\r\n{OWN}\r\n\r\nwhole".encode())
+            await stream.send(f"HTTP/1.1 200 OK\r\n{OWN_ID}\r\n\r\nwhole".encode())
 
         async def reset(stream: ScriptedStream) -> None:
             await stream.request()
-            await stream.send(f"HTTP/1.1 200 OK\r\n{OWN}\r\n\r\nhalf".encode())
+            await stream.send(f"HTTP/1.1 200 OK\r\n{OWN_ID}\r\n\r\nhalf".encode())
             await trio.sleep(0.05)
             await reset_connection(stream.stream)
 
@@ -149,7 +151,7 @@
     def test_not_run_is_derived_from_header_or_status(self) -> None:
         async def script(stream: ScriptedStream) -> None:
             await stream.request()
-            await stream.send(response(b"", OWN, "X-Not-Executed: 1", status="503 Full"))
+            await stream.send(response(b"", OWN_ID, "X-Not-Executed: 1", status="503 Full"))
             await stream.request()
             await stream.send(response(b"", "X-Attempt-Id: a2", status="421 Other"))
             await stream.request()
@@ -157,7 +159,9 @@
             await stream.request()
 
         replies = exchange_all(script, outgoing(), outgoing("a2"), outgoing("a3"))
-        self.assertEqual([getattr(each, "not_run", None) for each in replies], [True, True, False])
+        self.assertEqual(
+            [getattr(reply, "not_run", None) for reply in replies], [True, True, False]
+        )
 
 
 class ReuseTest(unittest.TestCase):
@@ -180,7 +184,7 @@
     def test_connection_is_reusable_after_a_complete_exchange(self) -> None:
         async def script(stream: ScriptedStream) -> None:
             await stream.request()
-            await stream.send(response(b"hello", OWN))
+            await stream.send(response(b"hello", OWN_ID))
             await stream.request()
 
         self.assertTrue(self.reusable_after(script, outgoing()))
@@ -193,14 +197,14 @@
 
         async def together(stream: ScriptedStream) -> None:
             await stream.request()
-            await stream.send(response(b"hello", OWN) + b"more")
+            await stream.send(response(b"hello", OWN_ID) + b"more")
             await stream.request()
 
         async def later(stream: ScriptedStream) -> None:
             await stream.request()
-            await stream.send(response(b"hello", OWN))
+            await stream.send(response(b"hello", OWN_ID))
             await trio.sleep(0.01)
-            await stream.send(response(b"hello", OWN))
+            await stream.send(response(b"hello", OWN_ID))
             await stream.request()
 
         self.assertFalse(self.reusable_after(together, outgoing()))
@@ -215,7 +219,7 @@
 
         async def script(stream: ScriptedStream) -> None:
             await stream.stream.receive_some(1024)
-            await stream.send(response(b"too long", OWN, status="413 Too Large"))
+            await stream.send(response(b"too long", OWN_ID, status="413 Too Large"))
             await trio.sleep(0.5)
 
         long = outgoing(body=b"x" * 30_000_000, method="POST")
--- a/tests/cover/test_backend_pool.py
+++ b/tests/cover/test_backend_pool.py
@@ -34,7 +34,7 @@
         """Ignore a measured time."""
 
 
-async def until(holds: Callable[[], bool]) -> None:
+async def wait_until(holds: Callable[[], bool]) -> None:
     """Poll until a condition holds; the time limit of the test applies."""
     while not holds():  # noqa: ASYNC110 - no event is available
         await trio.sleep(0.01)
@@ -78,7 +78,7 @@
 
         async def test(pool: BackendPool, entry: ServerEntry) -> None:
             first = await pool.acquire(entry)
-            await until(lambda: self.opened == 2)
+            await wait_until(lambda: self.opened == 2)
             await trio.sleep(0.05)
             with patch.object(backend_pool, "open_connection", side_effect=AssertionError):
                 # Opening connections fails here, so that only the spare one can be returned.
@@ -110,7 +110,7 @@
     def test_no_spare_connection_to_a_nearby_backend_server(self) -> None:
         async def test(pool: BackendPool, entry: ServerEntry) -> None:
             await pool.acquire(entry)
-            await until(lambda: self.opened == 1)
+            await wait_until(lambda: self.opened == 1)
             await trio.sleep(0.1)
             self.assertEqual(self.opened, 1)
 
@@ -121,7 +121,7 @@
 
         async def test(pool: BackendPool, entry: ServerEntry) -> None:
             await pool.open_spare(entry, "next-request")
-            await until(lambda: self.ended == 1)
+            await wait_until(lambda: self.ended == 1)
 
         with (
             patch.object(backend_pool, "SWEEP_INTERVAL_S", 0.05),
@@ -171,8 +171,8 @@
                 )
                 nursery.start_soon(probe.run)
                 with trio.fail_after(LIMIT_S):
-                    await until(lambda: distances.is_measured(FAR))
-                    await until(lambda: distances.is_measured(NEAR))
+                    await wait_until(lambda: distances.is_measured(FAR))
+                    await wait_until(lambda: distances.is_measured(NEAR))
                 await trio.sleep(1.2)
                 # A measured time has replaced the assumed one; its value depends on the load.
                 self.assertNotEqual(distances.round_trip_s(FAR), INITIAL_OTHER_REGION_ROUND_TRIP_S)
--- a/tests/cover/test_dispatcher.py
+++ b/tests/cover/test_dispatcher.py
@@ -18,7 +18,7 @@
 POST = RouteKind.NON_IDEMPOTENT
 
 
-def own_id(request: bytes) -> str:
+def echo_id_header(request: bytes) -> str:
     for line in request.split(b"\r\n"):
         if line.lower().startswith(b"x-attempt-id:"):
             return "X-Attempt-Id: " + line.partition(b":")[2].strip().decode()
@@ -48,11 +48,11 @@
 
 
 def ok(request: bytes) -> bytes:
-    return response(b"ok", own_id(request), "X-Response-Seal: s")
+    return response(b"ok", echo_id_header(request), "X-Response-Seal: s")
 
 
 def shed(request: bytes) -> bytes:
-    return response(b"", own_id(request), "X-Not-Executed: 1", status="503 Full")
+    return response(b"", echo_id_header(request), "X-Not-Executed: 1", status="503 Full")
 
 
 def cut(request: bytes) -> bytes:
@@ -63,11 +63,11 @@
     return None
 
 
-def own_fault(request: bytes) -> bytes:
-    return response(b"oops", own_id(request), "X-Response-Seal: s", status="500 Fault")
+def server_error(request: bytes) -> bytes:
+    return response(b"oops", echo_id_header(request), "X-Response-Seal: s", status="500 Fault")
 
 
-def first_only(fault: Answer) -> Answer:
+def fail_first(fault: Answer) -> Answer:
     """Return a function that applies ``fault`` to the first request and answers all others."""
     left = [fault]
 
@@ -147,7 +147,7 @@
     def test_shed_request_goes_to_another_backend_server(self) -> None:
         for kind in (RouteKind.IDEMPOTENT, POST):
             self.parts = SteeringParts(make_table(make_route(kind=kind)))
-            backend = Backend(first_only(shed))
+            backend = Backend(fail_first(shed))
             scripts = {"i-1": backend.script, "i-2": backend.script}
             (reply,) = self.replies(scripts, get("/r/x"))
             self.assertTrue(reply.startswith(b"HTTP/1.1 200"), reply)
@@ -175,12 +175,12 @@
         self.assertEqual(len(first.requests) + len(second.requests), 1)
 
     def test_idempotent_request_with_lost_response_is_retried(self) -> None:
-        backend = Backend(first_only(cut))
+        backend = Backend(fail_first(cut))
         (reply,) = self.replies({"i-1": backend.script, "i-2": backend.script}, get("/r/x"))
         self.assertTrue(reply.startswith(b"HTTP/1.1 200"), reply)
 
     def test_error_response_is_forwarded_if_all_backend_servers_fail(self) -> None:
-        scripts = {"i-1": Backend(own_fault).script, "i-2": Backend(own_fault).script}
+        scripts = {"i-1": Backend(server_error).script, "i-2": Backend(server_error).script}
         (reply,) = self.replies(scripts, get("/r/x"))
         self.assertTrue(reply.startswith(b"HTTP/1.1 500"), reply)
         self.assertIn(b"x-response-seal: s", reply)
@@ -204,7 +204,7 @@
         second one, its response would be lost when the second has no room. Both are awaited, and
         the first response is forwarded.
         """
-        backend = Backend(first_only(silent))
+        backend = Backend(fail_first(silent))
         scripts = {"i-1": backend.script, "i-2": backend.script}
         (reply,) = self.replies(scripts, get("/r/x", "X-Deadline-Ms: 2000"))
         self.assertTrue(reply.startswith(b"HTTP/1.1 200"), reply)
--- a/tests/cover/test_forwarding.py
+++ b/tests/cover/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding of one request, with slots and backend servers of the test."""
+"""Forwarding of single requests, with fake slots and backend servers."""
 
 import unittest
 from collections.abc import AsyncIterator
@@ -23,8 +23,8 @@
 from wagtailpoint.verdict import Verdict
 
 
-class LateSlots:
-    """Gives a slot when the deadline is over."""
+class DeadlineSlots:
+    """Grants a slot only when the deadline has passed."""
 
     def __init__(self, *, clock: FakeClock) -> None:
         self._clock = clock
@@ -40,13 +40,13 @@
 
 
 class NoExchanges:
-    """Backend servers that must not be asked."""
+    """Backend servers to which nothing may be sent."""
 
     def exchange(self, server: Any, request: Any) -> Any:
         raise AssertionError("sent after the deadline")
 
 
-class NoChoice:
+class NoServers:
     def pool(self, plan: Any) -> str:
         return "desk/old"
 
@@ -54,28 +54,28 @@
         return None
 
 
-class NoFailures:
-    """An observer to which nothing may be reported: nothing is sent."""
+class NoReports:
+    """An observer without methods, so that any report fails."""
 
 
 class LateSlotTest(unittest.TestCase):
-    def test_slot_that_becomes_free_at_the_deadline(self) -> None:
-        """Under load many keyed requests end as ``may-have-run``, and run for nobody.
+    def test_slot_granted_at_the_deadline_is_not_used(self) -> None:
+        """Guards against keyed requests ending as ``may-have-run`` under load.
 
-        All slots are held by requests that time out; in the same moment those time out that wait
-        for them. Cause: a slot that is given then was used, with a millisecond left.
+        All slots are held by requests that time out, and the requests waiting for these slots time
+        out at the same moment. A slot granted then must not be used with a millisecond left.
         """
         clock = FakeClock()
-        slots = LateSlots(clock=clock)
+        slots = DeadlineSlots(clock=clock)
         budget = RetryBudget(clock=clock, ratio=0.1, minimum_per_s=1.0)
         forwarder = Forwarder(
             clock=clock,
             backends=NoExchanges(),  # type: ignore[arg-type]
             slots=slots,  # type: ignore[arg-type]
-            servers=NoChoice(),  # type: ignore[arg-type]
+            servers=NoServers(),  # type: ignore[arg-type]
             budget=lambda _plan: budget,
             quarantine=Quarantine(others=CrashReportRecorder()),
-            observer=NoFailures(),  # type: ignore[arg-type]
+            observer=NoReports(),  # type: ignore[arg-type]
         )
         plan = small_plan(small_config(), deadline=clock.now + 1.0)
         request = CallerRequest("POST", "/x", "/x", [], None, None, clock.now)
@@ -93,7 +93,7 @@
 
 
 class FreeSlots:
-    """Gives a slot at one backend server after the other."""
+    """Grants slots on a new backend server each time."""
 
     def __init__(self) -> None:
         self._servers = count(1)
@@ -111,7 +111,7 @@
 
 
 class CutExchanges:
-    """Backend servers that end each connection before an answer."""
+    """Backend servers that reset each connection before a response."""
 
     def __init__(self, *, listens: bool) -> None:
         self.sent = 0
@@ -128,7 +128,7 @@
         return Err(BackendFailure(Verdict.NOT_RUN, FailureReason.CONNECT_REFUSED))
 
 
-class NoNews:
+class FixedServers:
     def pool(self, plan: Any) -> str:
         return "desk/old"
 
@@ -139,24 +139,24 @@
         return
 
 
-class AnyFailures:
+class IgnoringObserver:
     def on_exchange_failed(self, *_what: Any, **_more: Any) -> None:
         return
 
 
 class CrashTest(unittest.TestCase):
     def refusals(self, backends: CutExchanges, times: int) -> list[Refusal]:
-        """What a request is told that is sent so many times."""
+        """Forward a request ``times`` times and return the refusals."""
         clock = FakeClock()
         budget = RetryBudget(clock=clock, ratio=1.0, minimum_per_s=100.0)
         forwarder = Forwarder(
             clock=clock,
             backends=backends,  # type: ignore[arg-type]
             slots=FreeSlots(),  # type: ignore[arg-type]
-            servers=NoNews(),  # type: ignore[arg-type]
+            servers=FixedServers(),  # type: ignore[arg-type]
             budget=lambda _plan: budget,
             quarantine=Quarantine(others=CrashReportRecorder()),
-            observer=AnyFailures(),  # type: ignore[arg-type]
+            observer=IgnoringObserver(),  # type: ignore[arg-type]
         )
         plan = small_plan(small_config(), deadline=clock.now + 1.0)
         request = CallerRequest("GET", "/x", "/x", [], None, None, clock.now)
@@ -166,21 +166,21 @@
 
         async def run() -> list[Refusal]:
             outcomes = [await _forward(forwarder, plan, request, sink) for _ in range(times)]
-            return [each.err_value for each in outcomes]
+            return [outcome.err_value for outcome in outcomes]
 
         return trio.run(run)
 
-    def test_request_that_crashed_three_is_refused_at_once(self) -> None:
-        """Guards against a request that ends one backend server after the other."""
+    def test_request_that_crashed_three_backend_servers_is_refused(self) -> None:
+        """Guards against a request that crashes one backend server after the other."""
         backends = CutExchanges(listens=False)
         *_, last = self.refusals(backends, times=5)
         self.assertEqual((last.code, last.verdict), (RefusalCode.QUARANTINED, Verdict.NOT_RUN))
         self.assertEqual(backends.sent, 3)
 
-    def test_connection_to_a_sound_backend_server_is_no_crash(self) -> None:
-        """Guards against shutting out requests for a faulty network's sake."""
+    def test_reset_by_a_running_backend_server_is_no_crash(self) -> None:
+        """Guards against quarantining requests because of a faulty network."""
         backends = CutExchanges(listens=True)
-        codes = {each.code for each in self.refusals(backends, times=5)}
+        codes = {outcome.code for outcome in self.refusals(backends, times=5)}
         self.assertEqual(codes, {RefusalCode.BACKEND_FAILED})
         self.assertGreaterEqual(backends.sent, 5)
 
--- a/tests/cover/test_hedging.py
+++ b/tests/cover/test_hedging.py
@@ -1,4 +1,4 @@
-"""Hedging: a second copy of a slow request, one answer, no slot left behind."""
+"""Hedging: a slow request is sent twice, one response is forwarded, and all slots are released."""
 
 import unittest
 from collections.abc import Callable, Sequence
@@ -28,46 +28,46 @@
 
 
 class ScriptedCopies:
-    """What becomes of the first and of the second copy: after how long, and which status."""
+    """Sends with scripted outcomes: the delay and the status (None for a failure) of each copy."""
 
     def __init__(self, *outcomes: tuple[float, int | None], breaks: bool = False) -> None:
         self._outcomes = outcomes
         self._breaks = breaks
         self.sent: list[int] = []
-        self.cut_off: list[int] = []
-        self.heard: list[int] = []
-        self.held = 1
+        self.cancelled: list[int] = []
+        self.forwarded: list[int] = []
+        self.held_slots = 1
 
     async def send(self, slot: Slot, sink: Callable) -> BackendFailure | None:
-        place = slot.server.address.port
-        self.sent.append(place)
-        after_s, status = self._outcomes[place]
+        index = slot.server.address.port
+        self.sent.append(index)
+        after_s, status = self._outcomes[index]
         try:
             await trio.sleep(after_s)
             if status is None:
                 return RESET
             await sink(BackendResponse(status, (), None))  # type: ignore[arg-type]
         except trio.Cancelled:
-            self.cut_off.append(place)
+            self.cancelled.append(index)
             raise
         finally:
-            self.held -= 1
+            self.held_slots -= 1
         return None
 
-    async def hear(self, response: BackendResponse) -> None:
-        self.heard.append(response.status)
-        await trio.sleep(1.0)  # a body that takes its time
+    async def forward(self, response: BackendResponse) -> None:
+        self.forwarded.append(response.status)
+        await trio.sleep(1.0)  # a slow body
         if self._breaks:
             raise BodyBroken("short")
 
     def take_second_slot(self) -> Slot:
-        self.held += 1
+        self.held_slots += 1
         return make_slot(1)
 
     def hedged(self) -> HedgedExchange:
         hedged = HedgedExchange(
             send_copy=self.send,
-            sink=self.hear,
+            sink=self.forward,
             take_second_slot=self.take_second_slot,
             delay_s=DELAY_S,
         )
@@ -81,61 +81,62 @@
 
 class HedgedExchangeTest(unittest.TestCase):
     def check(
-        self, copies: ScriptedCopies, *, sent: Sequence[int], heard: Sequence[int]
+        self, copies: ScriptedCopies, *, sent: Sequence[int], forwarded: Sequence[int]
     ) -> HedgedExchange:
         hedged = copies.hedged()
-        self.assertEqual((copies.sent, copies.heard, copies.held), (sent, heard, 0))
+        self.assertEqual((copies.sent, copies.forwarded, copies.held_slots), (sent, forwarded, 0))
         return hedged
 
-    def test_quick_answer_sends_no_second_copy(self) -> None:
-        self.check(ScriptedCopies((0.05, 200)), sent=[0], heard=[200])
+    def test_fast_response_is_not_hedged(self) -> None:
+        self.check(ScriptedCopies((0.05, 200)), sent=[0], forwarded=[200])
 
-    def test_second_copy_answers_for_a_backend_server_that_stalls(self) -> None:
-        """One backend server in a hundred pauses for seconds, and a balance check is on it.
+    def test_hedged_request_is_answered_when_the_first_stalls(self) -> None:
+        """Guards against a 99th percentile of the latency determined by stalled backend servers.
 
-        Symptom: the 99th percentile is that of the pause. Cause: the request stays where it is,
-        though any other backend server would have answered long ago.
+        One in a hundred backend servers pauses for seconds while it has a request. Any other one
+        would respond much earlier.
         """
         copies = ScriptedCopies((30.0, 200), (0.05, 201))
-        hedged = self.check(copies, sent=[0, 1], heard=[201])
-        self.assertEqual((copies.cut_off, hedged.slow), ([0], True))
+        hedged = self.check(copies, sent=[0, 1], forwarded=[201])
+        self.assertEqual((copies.cancelled, hedged.slow), ([0], True))
 
-    def test_late_answer_of_the_other_copy_is_not_passed_on(self) -> None:
-        """Both copies are answered, the second while the first one's body is still passed on.
+    def test_late_response_of_the_other_copy_is_not_forwarded(self) -> None:
+        """Guards against a reply that mixes parts of two responses.
 
-        Symptom: the caller gets parts of two answers in one. Cause: the copies share the sink.
+        The second response arrives while the body of the first is still being forwarded, and both
+        exchanges share the sink.
         """
         copies = ScriptedCopies((0.2, 200), (0.15, 201))
-        self.check(copies, sent=[0, 1], heard=[200])
-        self.assertEqual(copies.cut_off, [1])
+        self.check(copies, sent=[0, 1], forwarded=[200])
+        self.assertEqual(copies.cancelled, [1])
 
-    def test_failure_before_the_delay_is_left_to_retries(self) -> None:
-        hedged = self.check(ScriptedCopies((0.05, None)), sent=[0], heard=[])
+    def test_failure_before_the_delay_is_not_hedged(self) -> None:
+        hedged = self.check(ScriptedCopies((0.05, None)), sent=[0], forwarded=[])
         self.assertEqual([failure for _, failure in hedged.failures], [RESET])
 
-    def test_one_failing_copy_leaves_the_other_running(self) -> None:
+    def test_failure_of_one_copy_does_not_cancel_the_other(self) -> None:
         for outcomes in (((0.15, None), (0.2, 201)), ((0.4, 200), (0.05, None))):
             with self.subTest(outcomes=outcomes):
                 self.assertTrue(
                     self.check(
-                        ScriptedCopies(*outcomes), sent=[0, 1], heard=[outcomes[0][1] or 201]
+                        ScriptedCopies(*outcomes), sent=[0, 1], forwarded=[outcomes[0][1] or 201]
                     ).answered
                 )
 
-    def test_broken_body_comes_out_as_itself(self) -> None:
-        """The answer's body ends before its promised end.
+    def test_truncated_body_raises_body_broken_itself(self) -> None:
+        """Guards against a truncated body that looks complete to the caller.
 
-        Symptom: the caller's connection is not cut, and the short body looks whole. Cause: the
-        entry waits for ``BodyBroken`` and gets a group that holds it.
+        The entry cuts the caller's connection on ``BodyBroken``. It would not do so if the
+        exception arrived wrapped in an exception group.
         """
         copies = ScriptedCopies((0.05, 200), breaks=True)
         with self.assertRaises(BodyBroken):
             copies.hedged()
-        self.assertEqual(copies.held, 0)
+        self.assertEqual(copies.held_slots, 0)
 
 
 class HedgeDelaysTest(unittest.TestCase):
-    def test_delay_settles_where_one_in_twenty_is_slower(self) -> None:
+    def test_delay_converges_to_the_95th_percentile(self) -> None:
         delays = HedgeDelays()
         slower = 0
         for number in range(20_000):
--- a/tests/cover/test_keyed_requests.py
+++ b/tests/cover/test_keyed_requests.py
@@ -36,7 +36,7 @@
         while request := await stream.request():
             self.requests.append(request.lower())
             lines = request.decode().split("\r\n")
-            own_id = next(each for each in lines if each.lower().startswith("x-attempt-id:"))
+            own_id = next(line for line in lines if line.lower().startswith("x-attempt-id:"))
             await stream.send(response(b"ok", own_id, "X-Response-Seal: s"))
 
     def run_with(self, test: Callable[[Endpoint], Awaitable[None]]) -> None:
--- a/tests/cover/test_reach_probe.py
+++ b/tests/cover/test_reach_probe.py
@@ -18,16 +18,16 @@
 
 
 class FakePool:
-    """A pool that fails to open connections until ``back`` is set."""
+    """A pool that fails to open connections until ``is_reachable`` is set."""
 
     def __init__(self) -> None:
-        self.back = False
-        self.tried_at: list[float] = []
+        self.is_reachable = False
+        self.probed_at: list[float] = []
 
     async def open_spare(self, entry: ServerEntry, purpose: str) -> FailureReason | None:
-        self.tried_at.append(trio.current_time())
+        self.probed_at.append(trio.current_time())
         await trio.sleep(0.3)
-        return None if self.back else FailureReason.CONNECT_TIMEOUT
+        return None if self.is_reachable else FailureReason.CONNECT_TIMEOUT
 
 
 class ReachabilityProbeTest(unittest.TestCase):
@@ -53,7 +53,7 @@
 
         trio.run(run, clock=MockClock(autojump_threshold=0))
 
-    def rests(self, placement: Placement) -> bool:
+    def is_paused(self, placement: Placement) -> bool:
         return placement.load_of(self.fleet.entries["i-1"]).resting_until is not None
 
     def test_unreachable_backend_server_is_probed_at_growing_intervals(self) -> None:
@@ -66,18 +66,18 @@
         async def test(placement: Placement) -> None:
             placement.record_unreachable(self.fleet.entries["i-1"])
             await trio.sleep(12.0)
-            self.assertTrue(self.rests(placement))
-            self.assertLessEqual(len(self.pool.tried_at), 6)
-            self.assertGreaterEqual(len(self.pool.tried_at), 4)
-            self.pool.back = True
+            self.assertTrue(self.is_paused(placement))
+            self.assertLessEqual(len(self.pool.probed_at), 6)
+            self.assertGreaterEqual(len(self.pool.probed_at), 4)
+            self.pool.is_reachable = True
             await trio.sleep(5.0)
-            self.assertFalse(self.rests(placement))
+            self.assertFalse(self.is_paused(placement))
 
         self.run_with(test)
 
     def test_reachable_backend_server_is_not_probed(self) -> None:
         async def test(placement: Placement) -> None:
             await trio.sleep(5.0)
-            self.assertEqual(self.pool.tried_at, [])
+            self.assertEqual(self.pool.probed_at, [])
 
         self.run_with(test)
--- a/tests/integration/test_entry_observed.py
+++ b/tests/integration/test_entry_observed.py
@@ -1,4 +1,4 @@
-"""What an entry says of its requests, and how much memory large bodies take."""
+"""Metrics and timeline events of requests, and the memory used for large bodies."""
 
 from tests.common.entry_case import (
     BALANCE,
@@ -12,10 +12,10 @@
 
 
 class ObservedRequestTest(EntryTestCase):
-    """What an entry says of a request is true a moment after its reply, not before.
+    """Requests appear in metrics and on the timeline shortly after their replies.
 
-    A request is counted when its reply has ended, and its caller may ask for the pages before that
-    is done: the tests wait for what must come.
+    A request is counted after its reply has ended, and its caller may read the pages before that.
+    The tests therefore poll for the expected entries.
     """
 
     def names(self, request_id: str) -> list[object]:
@@ -25,7 +25,7 @@
         events = self.entry.page("timeline")["events"]
         return [event for event in events if event.get("request_id") == request_id]
 
-    def test_retried_request_can_be_followed(self) -> None:
+    def test_events_of_a_retried_request(self) -> None:
         desk = self.running.backends["deposit-desk"]
         desk.set_mode(reset_after=1.0)
         self.addCleanup(desk.set_mode)
@@ -36,7 +36,7 @@
         self.assertEqual(names[0], "request-retried")
         self.assertEqual(names[-2:], ["request-given-up", "request-refused"])
 
-    def test_keyed_request_can_be_followed(self) -> None:
+    def test_events_of_a_keyed_request(self) -> None:
         ids = "Wagtailpoint-Request-Id: follow-2\r\nIdempotency-Key: key-2\r\n"
         answer = self.ask(RELEASE + ids + "Content-Length: 2\r\n\r\n{}")
         self.assertEqual(answer.verdict, "ran")
@@ -59,7 +59,7 @@
 class LargeBodyTest(EntryTestCase):
     SIZE = 200 * MEGABYTE
 
-    def test_long_download_takes_little_memory(self) -> None:
+    def test_memory_is_bounded_during_a_long_download(self) -> None:
         before = peak_memory(self.entry.pid)
         path = f"/statements/bulk/{self.SIZE}"
         with self.connected() as connection:
@@ -71,7 +71,7 @@
                 received += len(data)
         self.assertLess(peak_memory(self.entry.pid) - before, MOST_GROWTH)
 
-    def test_long_upload_takes_little_memory(self) -> None:
+    def test_memory_is_bounded_during_a_long_upload(self) -> None:
         before = peak_memory(self.entry.pid)
         piece = b"x" * MEGABYTE
         with self.connected() as connection:
--- a/tests/integration/test_workspace_keys.py
+++ b/tests/integration/test_workspace_keys.py
@@ -15,7 +15,7 @@
 LIMIT_S = 90
 INSTANCES = 7
 REVOKE_S = 5.0
-BACK_S = 10.0
+SERVE_AGAIN_TIMEOUT_S = 10.0
 """Time within which all instances serve again after the store has returned, also on a busy host."""
 
 KEY = "3fgfwrz56aw63is47qdq"
@@ -42,14 +42,14 @@
                     await stream.send(response(b"ok", f"X-Attempt-Id: {number}"))
 
     def run_with(
-        self, first: dict[str, Any], test: Callable[[list[Instance]], Awaitable[None]]
+        self, config_document: dict[str, Any], test: Callable[[list[Instance]], Awaitable[None]]
     ) -> None:
         async def run() -> None:
             with trio.fail_after(LIMIT_S):
                 async with AsyncExitStack() as stack:
                     store = await stack.enter_async_context(self.store.serve())
                     server = await stack.enter_async_context(scripted_server(self.backend))
-                    self.store.put("config", "main", first)
+                    self.store.put("config", "main", config_document)
                     self.store.put("servers", "i-1", server_document(str(server)))
                     instances = await stack.enter_async_context(steering_group(store, INSTANCES))
                     await test(instances)
@@ -60,8 +60,8 @@
         sent = (f"Authorization: Bearer {key}", "X-Attempt-Id: a1")
         return (await ask(instance.address, CALLER_PORT, "/look/1", *sent))[0]
 
-    async def all_answer(self, instances: list[Instance], status: int, key: str = KEY) -> bool:
-        return all([await self.status(each, key) == status for each in instances])
+    async def all_reply(self, instances: list[Instance], status: int, key: str = KEY) -> bool:
+        return all([await self.status(instance, key) == status for instance in instances])
 
     def test_revoked_key_and_unavailable_store(self) -> None:
         """Guards against accepting a revoked key for too long, and against lasting refusals.
@@ -70,22 +70,28 @@
         """
 
         async def test(instances: list[Instance]) -> None:
-            await until(lambda: self.all_answer(instances, 200), BACK_S * 3, "all serve the key")
-            self.assertTrue(await self.all_answer(instances, 401, "unknown"))
+            await until(
+                lambda: self.all_reply(instances, 200),
+                SERVE_AGAIN_TIMEOUT_S * 3,
+                "all serve the key",
+            )
+            self.assertTrue(await self.all_reply(instances, 401, "unknown"))
             self.store.put("config", "main", config("00000009", OTHER_KEY))
-            await until(lambda: self.all_answer(instances, 401), REVOKE_S, "the key is gone")
-            self.assertTrue(await self.all_answer(instances, 200, OTHER_KEY))
+            await until(lambda: self.all_reply(instances, 401), REVOKE_S, "the key is gone")
+            self.assertTrue(await self.all_reply(instances, 200, OTHER_KEY))
             self.store.refuse = 503
             self.store.end_watches()
             await trio.sleep(REVOKE_S)
-            self.assertTrue(await self.all_answer(instances, 503, OTHER_KEY))
+            self.assertTrue(await self.all_reply(instances, 503, OTHER_KEY))
             self.store.refuse = None
             await until(
-                lambda: self.all_answer(instances, 200, OTHER_KEY), BACK_S, "all serve again"
+                lambda: self.all_reply(instances, 200, OTHER_KEY),
+                SERVE_AGAIN_TIMEOUT_S,
+                "all serve again",
             )
-            self.assertFalse(any(OTHER_KEY.encode() in each for each in self.seen))
-            self.assertTrue(all(b"x-tenant: huka270" in each for each in self.seen))
-            logs = "".join(each.process.log for each in instances)
+            self.assertFalse(any(OTHER_KEY.encode() in request for request in self.seen))
+            self.assertTrue(all(b"x-tenant: huka270" in request for request in self.seen))
+            logs = "".join(instance.process.log for instance in instances)
             self.assertNotIn(KEY, logs)
             self.assertNotIn(OTHER_KEY, logs)
 
@@ -96,7 +102,9 @@
         rate, burst, slack = 4.0, 4.0, 20.0
 
         async def test(instances: list[Instance]) -> None:
-            await until(lambda: self.all_answer(instances[:1], 200), BACK_S * 3, "a token")
+            await until(
+                lambda: self.all_reply(instances[:1], 200), SERVE_AGAIN_TIMEOUT_S * 3, "a token"
+            )
             began, before = trio.current_time(), len(self.seen)
             statuses = set()
             for number in range(100):
