--- a/src/wagtailpoint/entry/hedging.py
+++ b/src/wagtailpoint/entry/hedging.py
@@ -123,7 +123,7 @@
         try:
             with self._scopes[0] if index == 0 else trio.CancelScope():
                 failure = await self._send_copy(
-                    slot, lambda response: self._pass_on(index, response)
+                    slot, lambda response: self._forward_response(index, response)
                 )
                 if failure is not None:
                     self.failures.append((slot, failure))
@@ -135,7 +135,7 @@
                 # No exchange is left; if the hedged request was not sent yet, it is not needed.
                 self._scopes[1].cancel()
 
-    async def _pass_on(self, index: int, response: BackendResponse) -> None:
+    async def _forward_response(self, index: int, response: BackendResponse) -> None:
         if self.answered:
             # The other exchange has cancelled this one; wait for the cancellation.
             await trio.sleep_forever()
--- a/src/wagtailpoint/entry/plan.py
+++ b/src/wagtailpoint/entry/plan.py
@@ -27,8 +27,8 @@
         service: The service of the route.
         policy: The policy of the request class.
         deadline: Time of the monotonic clock, in seconds.
-        affinity: A key that is equal for requests of the same caller for the same path. During a
-            move, requests with the same affinity go to the same group.
+        affinity: Equal for requests of the same caller with the same path and idempotency key.
+            During a move, requests with the same affinity go to the same group.
     """
 
     workspace: Workspace
--- a/src/wagtailpoint/entry/service.py
+++ b/src/wagtailpoint/entry/service.py
@@ -167,7 +167,7 @@
         # and would count a complete reply as abandoned. The rest of the work is therefore shielded.
         whole_reply = trio.CancelScope()
 
-        async def pass_on(response: BackendResponse) -> None:
+        async def forward_response(response: BackendResponse) -> None:
             nonlocal status
             status = response.status
             bytes_left = int(header_value(response.headers, b"content-length") or -1)
@@ -188,7 +188,7 @@
                     stream=None if rest is None else _chain_body(body, rest),
                     fingerprint=_request_fingerprint(plan, request, body),
                 )
-                outcome = await self._forwarder.forward(planned, sink=pass_on)
+                outcome = await self._forwarder.forward(planned, sink=forward_response)
         except (BodyTooLarge, BodyTooSlow) as error:
             # Part of the body has already been sent to the backend server.
             refusal = self._body_refusal(error)._replace(verdict=Verdict.MAY_HAVE_RUN)
--- a/src/wagtailpoint/proxy/backend_pool.py
+++ b/src/wagtailpoint/proxy/backend_pool.py
@@ -34,8 +34,8 @@
 MIN_SPARE_ROUND_TRIP_S: Final = 0.01
 """Spare connections are opened for backend servers with at least this round trip time. A request
 that opens its own connection waits for one more round trip; at 110 ms that is a third to half of
-the time in which an answer has its full value. An unused connection costs a hundredth of an answer.
-"""
+the time in which an answer has its full value. An unused connection costs only as much as a
+hundredth of an answer is worth."""
 
 REUSE_WEIGHT: Final = 0.02
 MIN_REUSE_FRACTION: Final = 0.4
--- a/src/wagtailpoint/proxy/request_context.py
+++ b/src/wagtailpoint/proxy/request_context.py
@@ -141,7 +141,7 @@
     @property
     def verdict(self) -> Verdict:
         """``NOT_RUN`` if no failed send can have run, otherwise ``MAY_HAVE_RUN``."""
-        if all(each.verdict is Verdict.NOT_RUN for each in self.failures):
+        if all(failure.verdict is Verdict.NOT_RUN for failure in self.failures):
             return Verdict.NOT_RUN
         return Verdict.MAY_HAVE_RUN
 
--- a/src/wagtailpoint/proxy/sender.py
+++ b/src/wagtailpoint/proxy/sender.py
@@ -62,11 +62,7 @@
         self.all_ended = trio.Event()
 
     def claim(self, server_id: str) -> bool:
-        """Claim the reply for a backend server and cancel the other sends.
-
-        Returns:
-            False if another backend server's response is already being forwarded.
-        """
+        """Claim the reply and cancel the other sends; return False if it was already claimed."""
         if self.answered_by is not None:
             return False
         self.answered_by = server_id
--- a/src/wagtailpoint/proxy/shared_retry_budget.py
+++ b/src/wagtailpoint/proxy/shared_retry_budget.py
@@ -31,7 +31,7 @@
         """Initialise the budget with half of this instance's share of the slack.
 
         It starts with half because a process that is killed and restarted would otherwise spend its
-        whole share twice.
+        full share twice.
 
         Args:
             bound: Returns the current bound of all instances together.
--- a/tests/cover/test_caller_connection.py
+++ b/tests/cover/test_caller_connection.py
@@ -78,7 +78,7 @@
         together = trio.Event()
         begun = []
 
-        async def meet(request: IncomingRequest, caller: CallerExchange) -> None:
+        async def reply_when_all_started(request: IncomingRequest, caller: CallerExchange) -> None:
             begun.append(request.target)
             if len(begun) == 3:
                 together.set()
@@ -91,7 +91,7 @@
             self.assertLess(data.index(b"/a"), data.index(b"/b"))
             self.assertLess(data.index(b"/b"), data.index(b"/c"))
 
-        self.run_with(meet, test)
+        self.run_with(reply_when_all_started, test)
 
     def test_wait_for_earlier_replies_is_measured(self) -> None:
         waited = {}
--- a/tests/cover/test_dispatcher.py
+++ b/tests/cover/test_dispatcher.py
@@ -188,8 +188,8 @@
     def test_unreachable_backend_server_fails_no_request(self) -> None:
         async def test(endpoint: Endpoint) -> None:
             entries = [*self.parts.fleet.entries.values()]
-            nobody = make_server("i-0", BackendAddress("127.0.0.1", 9))
-            self.parts.fleet.update([*entries, nobody])
+            unreachable = make_server("i-0", BackendAddress("127.0.0.1", 9))
+            self.parts.fleet.update([*entries, unreachable])
             for number in range(6):
                 async with await trio.open_tcp_stream(*endpoint) as stream:
                     await stream.send_all(get(f"/r/{number}"))
--- a/tests/integration/test_entry_interface.py
+++ b/tests/integration/test_entry_interface.py
@@ -73,7 +73,9 @@
         with self.connected() as connection:
             ids = [f"id-{number}" for number in range(20)]
             connection.send(
-                "".join(f"{BALANCE}Wagtailpoint-Request-Id: {each}\r\n\r\n" for each in ids)
+                "".join(
+                    f"{BALANCE}Wagtailpoint-Request-Id: {request_id}\r\n\r\n" for request_id in ids
+                )
             )
             answered = [connection.read().headers["wagtailpoint-request-id"] for _ in ids]
         self.assertEqual(answered, ids)
@@ -87,7 +89,7 @@
     def passed_on_s(self, path: str) -> list[float]:
         records = self.running.backends["deposit-desk"].records().values()
         arrivals = [arrival for record in records for arrival in record["arrivals"]]
-        return [each["deadline_s"] for each in arrivals if each["path"].endswith(path)]
+        return [arrival["deadline_s"] for arrival in arrivals if arrival["path"].endswith(path)]
 
     def test_forwarded_deadline_is_reduced_and_capped_by_the_route(self) -> None:
         self.assertEqual(self.ask_with(700, "short").verdict, "ran")
--- a/tests/integration/test_steering_process.py
+++ b/tests/integration/test_steering_process.py
@@ -141,11 +141,11 @@
             self.hold = trio.Event()
             answers: list[tuple[int, bytes]] = []
 
-            async def one() -> None:
+            async def send_request() -> None:
                 answers.append(await self.request())
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(one)
+                nursery.start_soon(send_request)
                 await trio.sleep(0.2)
                 process.terminate()
                 await trio.sleep(0.3)
--- a/tests/integration/test_workspace_keys.py
+++ b/tests/integration/test_workspace_keys.py
@@ -98,7 +98,7 @@
         self.run_with(config("00000007", KEY), test)
 
     def test_allowance_is_shared_by_all_instances(self) -> None:
-        """Guards against each instance granting the whole allowance independently."""
+        """Guards against each instance granting the full allowance independently."""
         rate, burst, slack = 4.0, 4.0, 20.0
 
         async def test(instances: list[Instance]) -> None:
--- a/tests/nocover/test_caller_streams.py
+++ b/tests/nocover/test_caller_streams.py
@@ -129,8 +129,8 @@
 
     async def _exchange(self, sent: list[Sent], cuts: list[int]) -> None:
         here, there = socket.socketpair()
-        for each in (here, there):
-            each.setblocking(False)
+        for end in (here, there):
+            end.setblocking(False)
         client = trio.SocketStream(trio.socket.from_stdlib_socket(here))
         connection = CallerConnection(
             stream=trio.SocketStream(trio.socket.from_stdlib_socket(there)),
@@ -138,7 +138,7 @@
             bounds=lambda: DEFAULT_CALLER_BOUNDS,
             is_leaving=lambda: False,
         )
-        data = b"".join(each.written(number) for number, each in enumerate(sent))
+        data = b"".join(request.written(number) for number, request in enumerate(sent))
         async with client:
             with trio.fail_after(LIMIT_S):
                 async with trio.open_nursery() as nursery:
