--- a/tests/integration/test_entry_interface.py
+++ b/tests/integration/test_entry_interface.py
@@ -89,7 +89,7 @@
     def passed_on_s(self, path: str) -> list[float]:
         records = self.running.backends["deposit-desk"].records().values()
         arrivals = [arrival for record in records for arrival in record["arrivals"]]
-        return [arrival["deadline_s"] for arrival in arrivals if arrival["path"].endswith(path)]
+        return [seen["deadline_s"] for seen in arrivals if seen["path"].endswith(path)]
 
     def test_forwarded_deadline_is_reduced_and_capped_by_the_route(self) -> None:
         self.assertEqual(self.ask_with(700, "short").verdict, "ran")
