--- a/src/wagtailpoint/placement/cached_fraction.py
+++ b/src/wagtailpoint/placement/cached_fraction.py
@@ -10,7 +10,7 @@
 from wagtailpoint.discovery.fleet import Fleet
 from wagtailpoint.placement.entry_counts import EntryCounts
 
-ASSUMED_UTILISATION: Final = 0.6
+INITIAL_UTILISATION: Final = 0.6
 """The demand that is assumed before any was measured: all slots of the service, used by so much, by
 the callers of all failure domains alike. Assuming none, a failure domain with few backend servers
 would take all requests of its callers for seconds, and then lose most to other regions at once."""
@@ -29,11 +29,11 @@
 find no cache warm."""
 
 UPDATE_INTERVAL_S: Final = 0.5
-MOST_STEP: Final = 0.1
+MAX_STEP: Final = 0.1
 """The part changes by so much in an interval at most: each key that moves meets a cold cache, and a
 belief that is wrong for a moment must not move them all."""
 
-MOST_REGION_STEP: Final = 0.05
+MAX_REGION_STEP: Final = 0.05
 """The same of a region: a key that moves changes the region in which its requests run."""
 
 
@@ -42,14 +42,14 @@
 
     def __init__(self, slots: float, now: float) -> None:
         self.slots = slots
-        self.at = now
-        self.parts: dict[str, float] = {}
-        self.region_parts: dict[str, float] = {}
+        self.decayed_at = now
+        self.fractions: dict[str, float] = {}
+        self.region_fractions: dict[str, float] = {}
         self.updated_at = -math.inf
 
-    def fade(self, now: float) -> None:
-        self.slots *= math.exp(-math.log(2) * (now - self.at) / RATE_HALF_LIFE_S)
-        self.at = now
+    def decay(self, now: float) -> None:
+        self.slots *= math.exp(-math.log(2) * (now - self.decayed_at) / RATE_HALF_LIFE_S)
+        self.decayed_at = now
 
 
 class CachedFraction:
@@ -78,17 +78,17 @@
         """A request came that will hold a slot for so many seconds if its object is cached."""
         now = trio.current_time()
         demand = self._demand(service, now)
-        demand.fade(now)
+        demand.decay(now)
         # The integral of the decay: a steady rate of slots settles at just that value.
         demand.slots += service_s * math.log(2) / RATE_HALF_LIFE_S
 
-    def of(self, service: str, failure_domain: str) -> float:
+    def domain_fraction(self, service: str, failure_domain: str) -> float:
         """The part of the keys, 0 to 1, that a failure domain holds."""
-        return self._updated(service).parts.get(failure_domain, 1.0)
+        return self._updated(service).fractions.get(failure_domain, 1.0)
 
-    def of_region(self, service: str, region: str) -> float:
+    def region_fraction(self, service: str, region: str) -> float:
         """The part of the keys, 0 to 1, that a region holds for its own callers."""
-        return self._updated(service).region_parts.get(region, 1.0)
+        return self._updated(service).region_fractions.get(region, 1.0)
 
     def _updated(self, service: str) -> _ServiceDemand:
         now = trio.current_time()
@@ -100,35 +100,37 @@
     def _demand(self, service: str, now: float) -> _ServiceDemand:
         demand = self._demands.get(service)
         if demand is None:
-            demand = self._demands[service] = _ServiceDemand(self._assumed(service), now)
+            demand = self._demands[service] = _ServiceDemand(self._initial_slots(service), now)
         return demand
 
-    def _assumed(self, service: str) -> float:
+    def _initial_slots(self, service: str) -> float:
         """The slots that the callers of this instance may be expected to use."""
-        slots = sum(each.entry.slots for each in self._fleet.candidates(service))
+        slots = sum(candidate.entry.slots for candidate in self._fleet.candidates(service))
         domains = max(1, self._fleet.failure_domains)
-        return ASSUMED_UTILISATION * slots / domains / self._entries.in_domain
+        return INITIAL_UTILISATION * slots / domains / self._entries.in_domain
 
     def _update(self, service: str, demand: _ServiceDemand, now: float) -> None:
-        demand.fade(now)
+        demand.decay(now)
         domains: Counter[str] = Counter()
         regions: Counter[str] = Counter()
         for entry, region in self._fleet.candidates(service):
             domains[entry.failure_domain] += entry.slots
             regions[region] += entry.slots
-        first = demand.updated_at == -math.inf
+        is_first_update = demand.updated_at == -math.inf
         in_domain = demand.slots * self._entries.in_domain / TARGET_UTILISATION
         in_region = demand.slots * self._entries.in_region / REGION_TARGET_UTILISATION
-        _approach(demand.parts, domains, in_domain, 1.0 if first else MOST_STEP)
-        _approach(demand.region_parts, regions, in_region, 1.0 if first else MOST_REGION_STEP)
+        _step_towards(demand.fractions, domains, in_domain, 1.0 if is_first_update else MAX_STEP)
+        _step_towards(
+            demand.region_fractions, regions, in_region, 1.0 if is_first_update else MAX_REGION_STEP
+        )
         demand.updated_at = now
 
 
-def _approach(
-    parts: dict[str, float], slots: Mapping[str, int], wanted_slots: float, step: float
+def _step_towards(
+    fractions: dict[str, float], slots: Mapping[str, int], wanted_slots: float, step: float
 ) -> None:
     """Move the part of each place towards what its slots can serve."""
     for place, available in slots.items():
-        part = min(1.0, available / max(0.01, wanted_slots))
-        before = parts.get(place, part)
-        parts[place] = before + max(-step, min(step, part - before))
+        fraction = min(1.0, available / max(0.01, wanted_slots))
+        previous = fractions.get(place, fraction)
+        fractions[place] = previous + max(-step, min(step, fraction - previous))
--- a/src/wagtailpoint/placement/choice.py
+++ b/src/wagtailpoint/placement/choice.py
@@ -8,7 +8,7 @@
 from wagtailpoint.placement.server_load import LoadReport
 from wagtailpoint.routing.table import HostRoute, ServicePolicy
 
-HOPEFUL_PART: Final = 0.5
+FREE_SLOT_SPEEDUP_FRACTION: Final = 0.5
 """The part of its expected service time that a request may be faster by at a free slot."""
 
 
@@ -104,12 +104,12 @@
     cold_s: float
 
 
-def loss_of(choice: Choice) -> float:
+def expected_loss(choice: Choice) -> float:
     """What is lost of the answer's value by this choice."""
     return choice.expected.loss
 
 
-def is_hopeless(choice: Choice, left_s: float) -> bool:
+def is_too_late(choice: Choice, remaining_s: float) -> bool:
     """Whether an answer can hardly come in time.
 
     With a free slot the service time is given the benefit of the doubt: the slot costs nobody else
@@ -117,5 +117,5 @@
     """
     expected = choice.expected
     if choice.occupancy < choice.entry.slots:
-        return expected.latency_s - HOPEFUL_PART * expected.service_s > left_s
-    return expected.latency_s > left_s
+        return expected.latency_s - FREE_SLOT_SPEEDUP_FRACTION * expected.service_s > remaining_s
+    return expected.latency_s > remaining_s
--- a/src/wagtailpoint/placement/cold_pacing.py
+++ b/src/wagtailpoint/placement/cold_pacing.py
@@ -7,12 +7,12 @@
 
 from wagtailpoint.discovery.entries import ServerStart
 
-SAFETY = 0.8
+SAFETY_FRACTION = 0.8
 """The part of the bound that is spent: requests sent evenly arrive bunched by delays on the way."""
 
-BURST = 1.0
+BURST_REQUESTS = 1.0
 
-SENDER_PER_S = 5.0
+SENDER_RATE_PER_S = 5.0
 """Requests a second of one sender, its burst included. Fewer senders use more of the bound, as each
 keeps back a burst; when two instances disagree who sends, one of few is a larger part too many."""
 
@@ -35,8 +35,8 @@
 
 class _Bucket:
     def __init__(self, now: float) -> None:
-        self.tokens = BURST
-        self.at = now
+        self.tokens = BURST_REQUESTS
+        self.refilled_at = now
 
 
 class ColdPacing:
@@ -81,11 +81,11 @@
         bucket = self._buckets.get(start)
         if bucket is None:
             bucket = self._buckets[start] = _Bucket(now)
-        bound = SAFETY * self._bound().per_second(cold_per_s)
-        sharing = self._count_senders(start, region, max(1, int(bound / SENDER_PER_S)))
+        bound = SAFETY_FRACTION * self._bound().per_second(cold_per_s)
+        senders = self._count_senders(start, region, max(1, int(bound / SENDER_RATE_PER_S)))
         # A part below one burst is no part: the bursts of all would come in the same second.
-        rate = bound / sharing - BURST if sharing else -1.0
-        burst = BURST if rate >= 0 else 0.0
-        bucket.tokens = min(burst, bucket.tokens + max(0.0, rate) * (now - bucket.at))
-        bucket.at = now
+        rate = bound / senders - BURST_REQUESTS if senders else -1.0
+        burst = BURST_REQUESTS if rate >= 0 else 0.0
+        bucket.tokens = min(burst, bucket.tokens + max(0.0, rate) * (now - bucket.refilled_at))
+        bucket.refilled_at = now
         return bucket
--- a/src/wagtailpoint/placement/cold_senders.py
+++ b/src/wagtailpoint/placement/cold_senders.py
@@ -12,7 +12,7 @@
 from wagtailpoint.membership.member import Member, capacity_sort_key
 from wagtailpoint.rendezvous import rendezvous_score
 
-LOOK_INTERVAL_S: Final = 0.1
+POLL_INTERVAL_S: Final = 0.1
 """How often it is looked who is alive."""
 
 
@@ -43,10 +43,10 @@
         self._own = own
         self._members = members
         self._instances = instances
-        self._looked_at = -math.inf
-        self._alive_at: dict[str, float] = {}
-        self._newest: dict[str, Member] = {}
-        self._able: frozenset[str] = frozenset()
+        self._polled_at = -math.inf
+        self._last_alive_at: dict[str, float] = {}
+        self._members_by_address: dict[str, Member] = {}
+        self._most_capable: frozenset[str] = frozenset()
 
     def count_senders(self, start: ServerStart, region: str, wanted: int) -> int:
         """How many instances share what a backend server bears; 0 if this one has no part.
@@ -56,55 +56,55 @@
             region: Where it is: its cache is filled for the callers there first.
             wanted: How many may share it.
         """
-        self._look()
+        self._poll_members()
         instances = self._instances()
-        if len(self._alive_at) < instances:
+        if len(self._last_alive_at) < instances:
             # Some are not known yet, and may choose others than we would: all share.
             return instances
-        wanted = min(wanted, len(self._alive_at))
+        wanted = min(wanted, len(self._last_alive_at))
         senders = sorted(
-            self._alive_at,
+            self._last_alive_at,
             key=lambda address: (
-                self._newest[address].region != region,
-                address not in self._able,
+                self._members_by_address[address].region != region,
+                address not in self._most_capable,
                 -rendezvous_score(start.server_id, address),
             ),
         )
         return wanted if self._own in senders[:wanted] else 0
 
-    def _look(self) -> None:
+    def _poll_members(self) -> None:
         now = trio.current_time()
-        if now - self._looked_at < LOOK_INTERVAL_S:
+        if now - self._polled_at < POLL_INTERVAL_S:
             return
-        self._looked_at = now
-        before = self._alive_at.keys()
-        alive_at = dict(self._alive_at)
+        self._polled_at = now
+        previous = self._last_alive_at.keys()
+        alive_at = dict(self._last_alive_at)
         for member in self._members():
-            self._newest[member.address] = member
+            self._members_by_address[member.address] = member
             if member.state != "dead":
                 alive_at[member.address] = now
-        self._alive_at = _since(alive_at, now - PEAK_RETENTION_S)
-        if self._alive_at.keys() != before:
-            self._able = self._most_able()
+        self._last_alive_at = _filter_recent(alive_at, now - PEAK_RETENTION_S)
+        if self._last_alive_at.keys() != previous:
+            self._most_capable = self._find_most_capable()
 
-    def _most_able(self) -> frozenset[str]:
+    def _find_most_capable(self) -> frozenset[str]:
         """The most capable instances of each failure domain: requests come to them first.
 
         By their capacity only, and not by who is an entry at the moment: while two instances
         disagreed on that, their senders would be others, and together exceed the bound.
         """
         domains: dict[str, list[Member]] = {}
-        for address in self._alive_at:
-            member = self._newest[address]
+        for address in self._last_alive_at:
+            member = self._members_by_address[address]
             domains.setdefault(member.failure_domain, []).append(member)
         return frozenset(
-            each.address
-            for found in domains.values()
-            for each in sorted(found, key=lambda member: capacity_sort_key(member, ENTRY_ORDER))[
-                :MIN_ENTRIES
-            ]
+            member.address
+            for members in domains.values()
+            for member in sorted(
+                members, key=lambda member: capacity_sort_key(member, ENTRY_ORDER)
+            )[:MIN_ENTRIES]
         )
 
 
-def _since(times: Mapping[str, float], earliest: float) -> dict[str, float]:
-    return {name: at for name, at in times.items() if at >= earliest}
+def _filter_recent(times: Mapping[str, float], earliest: float) -> dict[str, float]:
+    return {name: seen_at for name, seen_at in times.items() if seen_at >= earliest}
--- a/src/wagtailpoint/placement/learned.py
+++ b/src/wagtailpoint/placement/estimates.py
@@ -9,11 +9,11 @@
 from wagtailpoint.placement.warm_keys import WarmKeys
 from wagtailpoint.routing.table import HostRoute
 
-MOST_ROUTES: Final = 10_000
+MAX_ROUTES: Final = 10_000
 """Routes come and go with the configuration; what was learned of old ones must not fill memory."""
 
 
-class Learned:
+class Estimates:
     """Beliefs by backend server, each since its start, and by route."""
 
     def __init__(self) -> None:
@@ -41,7 +41,7 @@
         """What requests of a route take at a service."""
         cost = self._costs.get((route.name, service))
         if cost is None:
-            if len(self._costs) >= MOST_ROUTES:
+            if len(self._costs) >= MAX_ROUTES:
                 self._costs.clear()
             cost = self._costs[route.name, service] = RouteCost(objective_s=route.objective_s)
         return cost
@@ -51,10 +51,10 @@
     ) -> None:
         """Take note of what one request of a route took at a service."""
         cost = self.cost_of(route, service)
-        cost.note(service_s, reply_bytes, now)
-        if len(self._means) >= MOST_ROUTES:
+        cost.record(service_s, reply_bytes, now)
+        if len(self._means) >= MAX_ROUTES:
             self._means.clear()
-        self._means.setdefault(service, MeanServiceTime()).note(cost.service_s(now), now)
+        self._means.setdefault(service, MeanServiceTime()).record(cost.service_s(now), now)
 
     def mean_service_s(self, service: str, now: float) -> float | None:
         """The mean service time of all requests at a service; None if nothing is known of late."""
@@ -65,7 +65,7 @@
         """How often the affinity keys of a route come again."""
         reuse = self._reuse.get(route.name)
         if reuse is None:
-            if len(self._reuse) >= MOST_ROUTES:
+            if len(self._reuse) >= MAX_ROUTES:
                 self._reuse.clear()
             reuse = self._reuse[route.name] = KeyReuse()
         return reuse
--- a/src/wagtailpoint/placement/expectation.py
+++ b/src/wagtailpoint/placement/expectation.py
@@ -20,7 +20,7 @@
 SERVICE_SPREAD: Final = 0.2
 """Service times vary by 15 %, and the way there and back by a few milliseconds."""
 
-LEAST_SPREAD_S: Final = 0.008
+MIN_SPREAD_S: Final = 0.008
 
 CROWDING_LOSS: Final = 0.15
 """What a request costs the others at a backend server whose slots are all in use."""
@@ -38,7 +38,7 @@
 between regions. The latter is low: a long answer from another region may cost half of its value,
 but is better than none."""
 
-MOST_DOMAIN_LOSS: Final = 0.8
+MAX_DOMAIN_LOSS: Final = 0.8
 """However long an answer is, one from the failure domain beside is better than none, and than one
 that is late because its object is not cached."""
 
@@ -54,7 +54,7 @@
         service_s: Its service time with a cached object.
         ahead_service_s: The mean service time of the requests that it would wait behind.
         cached: The chance that its object is cached.
-        uses: How often the object will be used there if it gets cached now.
+        expected_uses: How often the object will be used there if it gets cached now.
         round_trip_s: The way there and back.
         occupancy: The requests there.
         slots: The slots there.
@@ -68,7 +68,7 @@
     service_s: float
     ahead_service_s: float
     cached: float
-    uses: float
+    expected_uses: float
     round_trip_s: float
     occupancy: float
     slots: int
@@ -101,17 +101,19 @@
     What an object that is not cached costs is spread over its uses: the first of them pays for
     all. Without that, no object would ever be cached anywhere but where it is.
     """
-    warm_s, cold_s = prospect.service_s, prospect.service_s * UNCACHED_FACTOR
-    service_s = prospect.cached * warm_s + (1 - prospect.cached) * cold_s
+    cached_s, uncached_s = prospect.service_s, prospect.service_s * UNCACHED_FACTOR
+    service_s = prospect.cached * cached_s + (1 - prospect.cached) * uncached_s
     wait_s = _wait_s(prospect.occupancy, prospect.slots, prospect.ahead_service_s)
-    warm_loss = _loss(prospect, warm_s, wait_s, objective_s)
-    cold_loss = _loss(prospect, cold_s, wait_s, objective_s)
-    loss = warm_loss + (1 - prospect.cached) * (cold_loss - warm_loss) / prospect.uses
+    cached_loss = _loss(prospect, cached_s, wait_s, objective_s)
+    uncached_loss = _loss(prospect, uncached_s, wait_s, objective_s)
+    loss = (
+        cached_loss + (1 - prospect.cached) * (uncached_loss - cached_loss) / prospect.expected_uses
+    )
     return Expectation(
         latency_s=prospect.round_trip_s + wait_s + service_s,
         service_s=service_s,
         wait_s=wait_s,
-        loss=loss + _bytes_loss(prospect),
+        loss=loss + _transfer_loss(prospect),
     )
 
 
@@ -119,19 +121,23 @@
     """The loss if the backend server works for so long, without that of the bytes."""
     ahead_s = prospect.round_trip_s + wait_s
     # The occupancy is an estimate, so what waits is as uncertain as it is long.
-    late = _late(ahead_s, service_s, 0.6 * wait_s + LEAST_SPREAD_S, objective_s)
+    late_probability = _late_probability(
+        ahead_s, service_s, 0.6 * wait_s + MIN_SPREAD_S, objective_s
+    )
     crowding = CROWDING_LOSS * (prospect.occupancy / prospect.slots) ** 2
     # In the time that an object takes that is not cached, several others could have been served.
     scarcity = prospect.utilisation**SCARCITY_EXPONENT * service_s / prospect.service_s
     return (
-        LATE_LOSS * max(late, prospect.error_share)
+        LATE_LOSS * max(late_probability, prospect.error_share)
         + crowding * service_s / objective_s
         + scarcity
         + TIME_LOSS * (ahead_s + service_s) / objective_s
     )
 
 
-def _late(ahead_s: float, service_s: float, spread_s: float, objective_s: float) -> float:
+def _late_probability(
+    ahead_s: float, service_s: float, spread_s: float, objective_s: float
+) -> float:
     """The chance of an answer after the objective; a logistic curve is close to the normal one."""
     spread_s += SERVICE_SPREAD * service_s
     steps = 1.7 * (ahead_s + service_s - objective_s) / spread_s
@@ -145,10 +151,10 @@
     return service_s * (0.3 + (occupancy - slots + 1) / slots)
 
 
-def _bytes_loss(prospect: Prospect) -> float:
+def _transfer_loss(prospect: Prospect) -> float:
     kilobytes = prospect.reply_bytes / 1024
     if prospect.crosses_region:
         return REGION_LOSS + REGION_LOSS_PER_KB * kilobytes
     if prospect.crosses_domain:
-        return min(MOST_DOMAIN_LOSS, DOMAIN_LOSS_PER_KB * kilobytes)
+        return min(MAX_DOMAIN_LOSS, DOMAIN_LOSS_PER_KB * kilobytes)
     return 0.0
--- a/src/wagtailpoint/placement/key_reuse.py
+++ b/src/wagtailpoint/placement/key_reuse.py
@@ -4,19 +4,19 @@
 from typing import Final
 
 HALF_LIFE_S: Final = 4.0
-KEYS_INTERVAL_S: Final = 10.0
-MOST_KEYS: Final = 4096
+KEY_COUNT_WINDOW_S: Final = 10.0
+MAX_KEYS: Final = 4096
 
-COUNT_INTERVAL_S: Final = 0.2
+KEY_COUNT_INTERVAL_S: Final = 0.2
 """How often the number of keys is worked out anew."""
 
-ASSUMED_REPEATS: Final = 0.1
+PRIOR_REPEATS: Final = 0.1
 """Counted beside the repeats that came: without any, the number of keys would have no upper end."""
 
 NEWTON_STEPS: Final = 6
 """From a start within a factor of 2 they give more digits than the counts are good for."""
 
-HORIZON_S: Final = 8.0
+REUSE_HORIZON_S: Final = 8.0
 """An object is taken to be of use for so long. Longer, and each failure domain caches more by
 itself, where its first uses are slow."""
 
@@ -33,40 +33,40 @@
 
     def __init__(self) -> None:
         self._rate = 0.0
-        self._at = 0.0
-        self._seen: set[str] = set()
+        self._rate_updated_at = 0.0
+        self._seen_keys: set[str] = set()
         self._requests = 0
-        self._since = 0.0
-        self._keys_before = 0.0
+        self._window_began_at = 0.0
+        self._previous_keys = 0.0
         self._keys = 1.0
         self._counted_at = -math.inf
 
-    def note(self, key: str, now: float) -> None:
+    def record(self, key: str, now: float) -> None:
         """A request came."""
         self._rate = self._rate_at(now) + math.log(2) / HALF_LIFE_S
-        self._at = now
-        if now - self._since > KEYS_INTERVAL_S:
-            self._keys_before = estimated_keys(self._requests, len(self._seen))
-            self._seen.clear()
+        self._rate_updated_at = now
+        if now - self._window_began_at > KEY_COUNT_WINDOW_S:
+            self._previous_keys = estimate_key_count(self._requests, len(self._seen_keys))
+            self._seen_keys.clear()
             self._requests = 0
-            self._since = now
-        if len(self._seen) < MOST_KEYS:
-            self._seen.add(key)
+            self._window_began_at = now
+        if len(self._seen_keys) < MAX_KEYS:
+            self._seen_keys.add(key)
             self._requests += 1
-        if now - self._counted_at >= COUNT_INTERVAL_S:
-            keys = estimated_keys(self._requests, len(self._seen))
-            self._keys = max(1.0, keys, self._keys_before)
+        if now - self._counted_at >= KEY_COUNT_INTERVAL_S:
+            keys = estimate_key_count(self._requests, len(self._seen_keys))
+            self._keys = max(1.0, keys, self._previous_keys)
             self._counted_at = now
 
-    def uses(self, entries: int, now: float) -> float:
+    def expected_uses(self, entries: int, now: float) -> float:
         """How often a cached object is used, by the callers of so many entries; at least 1."""
-        return max(1.0, HORIZON_S * entries * self._rate_at(now) / self._keys)
+        return max(1.0, REUSE_HORIZON_S * entries * self._rate_at(now) / self._keys)
 
     def _rate_at(self, now: float) -> float:
-        return self._rate * math.exp(-math.log(2) * (now - self._at) / HALF_LIFE_S)
+        return self._rate * math.exp(-math.log(2) * (now - self._rate_updated_at) / HALF_LIFE_S)
 
 
-def estimated_keys(requests: int, distinct: int) -> float:
+def estimate_key_count(requests: int, distinct: int) -> float:
     """How many keys there are, if so many distinct ones came in so many requests.
 
     Of ``n`` requests for ``k`` equally popular keys, ``k * (1 - exp(-n / k))`` distinct ones are
@@ -74,9 +74,9 @@
     """
     if distinct == 0:
         return 0.0
-    part = min(distinct, max(0.5, requests - ASSUMED_REPEATS)) / requests
-    x = 2 * (1 - part) if part > 0.5 else 1 / part
+    distinct_fraction = min(distinct, max(0.5, requests - PRIOR_REPEATS)) / requests
+    x = 2 * (1 - distinct_fraction) if distinct_fraction > 0.5 else 1 / distinct_fraction
     for _ in range(NEWTON_STEPS):
         decay = math.exp(-x)
-        x -= (1 - decay - part * x) / (decay - part)
+        x -= (1 - decay - distinct_fraction * x) / (decay - distinct_fraction)
     return max(float(distinct), requests / x)
--- a/src/wagtailpoint/placement/placement.py
+++ b/src/wagtailpoint/placement/placement.py
@@ -14,20 +14,20 @@
     Demand,
     NotPlaced,
     Observation,
-    is_hopeless,
-    loss_of,
+    expected_loss,
+    is_too_late,
 )
 from wagtailpoint.placement.cold_pacing import ColdPacing
 from wagtailpoint.placement.distances import Distances
 from wagtailpoint.placement.entry_counts import EntryCounts
-from wagtailpoint.placement.learned import Learned
-from wagtailpoint.placement.ranking import Ranked, Ranking, preferred_of
+from wagtailpoint.placement.estimates import Estimates
+from wagtailpoint.placement.ranking import Ranked, Ranking, select_preferred
 from wagtailpoint.placement.region_mix import RegionMix
-from wagtailpoint.placement.server_load import ServerLoad, Underway
+from wagtailpoint.placement.server_load import InFlightRequest, ServerLoad
 from wagtailpoint.placement.utilisation import Utilisation
-from wagtailpoint.placement.weighing import Weigher, cold_per_s
+from wagtailpoint.placement.weigher import Weigher, cold_per_s
 
-SPILL_UTILISATION: Final = 0.3
+MAX_SPILLOVER_UTILISATION: Final = 0.3
 """Below this part of a service's slots in use a request goes on to another backend server when
 those that should have its key could not serve it. Its object is not cached there, and takes the
 time of three that are: under high load whoever went on would take the room of others, who would go
@@ -60,10 +60,10 @@
         self._fleet = fleet
         self._distances = distances
         self._cold = cold
-        self._cached_part = cached_fraction
+        self._cached_fraction = cached_fraction
         self._mix = mix
-        self._learned = Learned()
-        self._utilisation = Utilisation(fleet=fleet, distances=distances, learned=self._learned)
+        self._estimates = Estimates()
+        self._utilisation = Utilisation(fleet=fleet, distances=distances, estimates=self._estimates)
         self._ranking = Ranking(
             fleet=fleet, own_domain=distances.failure_domain, own_region=distances.region
         )
@@ -72,94 +72,106 @@
             distances=distances,
             cold=cold,
             cached_fraction=cached_fraction,
-            learned=self._learned,
+            estimates=self._estimates,
             entries=entries,
         )
 
     def load_of(self, entry: ServerEntry) -> ServerLoad:
         """What is believed of a backend server since its start."""
-        return self._learned.load_of(entry)
+        return self._estimates.load_of(entry)
 
     def record_request(self, demand: Demand) -> None:
         """A request of a caller came."""
-        cost = self._learned.cost_of(demand.route, demand.service)
+        cost = self._estimates.cost_of(demand.route, demand.service)
         now = trio.current_time()
-        self._cached_part.record_request(demand.service, cost.service_s(now))
-        self._learned.reuse_of(demand.route).note(demand.key, now)
+        self._cached_fraction.record_request(demand.service, cost.service_s(now))
+        self._estimates.reuse_of(demand.route).record(demand.key, now)
 
     def choose(self, demand: Demand) -> Choice | NotPlaced:
         """Choose where a request goes."""
         now = trio.current_time()
-        order = self._ranking.of(demand.service, demand.key, demand.route.home_regions)
+        order = self._ranking.order_candidates(
+            demand.service, demand.key, demand.route.home_regions
+        )
         # When all are suspect the suspicion is of no use: the fault may be on our side.
         reachable = [
-            each for each in order.ranked if not self._is_suspect(each.candidate.entry, now)
+            option for option in order.ranked if not self._is_suspect(option.candidate.entry, now)
         ] or order.ranked
-        untried = [each for each in reachable if each.candidate.entry.server_id not in demand.tried]
+        untried = [
+            option for option in reachable if option.candidate.entry.server_id not in demand.tried
+        ]
         if not untried:
             return NotPlaced("no backend server")
-        wanted = self._wanted(order.ranked, reachable, now)
-        utilisation = self._utilisation.of(demand.service, now)
+        wanted = self._preferred_servers(order.ranked, reachable, now)
+        utilisation = self._utilisation.estimate(demand.service, now)
 
-        def weigh(each: Ranked) -> Choice | Declined:
-            return self._weigher.weigh(demand, each, order.position, utilisation, now)
+        def weigh(option: Ranked) -> Choice | Declined:
+            return self._weigher.weigh(demand, option, order.position, utilisation, now)
 
-        left = [each for each in untried if each in wanted]
-        if not left and utilisation < SPILL_UTILISATION:
-            left = untried[:1]
-        weighed = [weigh(each) for each in left]
-        choices = [each for each in weighed if isinstance(each, Choice)]
+        weighable = [option for option in untried if option in wanted]
+        if not weighable and utilisation < MAX_SPILLOVER_UTILISATION:
+            weighable = untried[:1]
+        weighed = [weigh(option) for option in weighable]
+        choices = [option for option in weighed if isinstance(option, Choice)]
         if not choices:
-            return NotPlaced("no room", [each for each in weighed if isinstance(each, Declined)])
-        best = self._least_loss(choices, demand.remaining_s, now)
-        if is_hopeless(best, demand.remaining_s):
+            return NotPlaced(
+                "no room", [option for option in weighed if isinstance(option, Declined)]
+            )
+        best = self._choose_least_loss(choices, demand.remaining_s, now)
+        if is_too_late(best, demand.remaining_s):
             return NotPlaced("too late")
         return best
 
-    def _wanted(
+    def _preferred_servers(
         self, ranked: Sequence[Ranked], reachable: Sequence[Ranked], now: float
     ) -> set[Ranked]:
         """Those to which a request should go if they have room."""
-        wanted = set(preferred_of(ranked)).intersection(reachable)
+        wanted = set(select_preferred(ranked)).intersection(reachable)
         if not wanted:
-            return set(preferred_of(reachable))
-        failing = {each for each in wanted if self.load_of(each.candidate.entry).is_failing(now)}
+            return set(select_preferred(reachable))
+        failing = {
+            option for option in wanted if self.load_of(option.candidate.entry).is_failing(now)
+        }
         if failing:
             # They stay in the choice: what they give is weighed against an object not cached.
-            wanted.update(preferred_of([each for each in reachable if each not in failing]))
+            wanted.update(
+                select_preferred([option for option in reachable if option not in failing])
+            )
         return wanted
 
-    def _least_loss(self, choices: Sequence[Choice], left_s: float, now: float) -> Choice:
+    def _choose_least_loss(
+        self, choices: Sequence[Choice], remaining_s: float, now: float
+    ) -> Choice:
         """The best choice, in another region if too many requests would come to its own at once.
 
         A sound backend server with room must be there for that: what changes because others fail
         or fill up may change at once.
         """
-        best = min(choices, key=loss_of)
-        if not self._mix.is_full(best.region, now):
+        best = min(choices, key=expected_loss)
+        if not self._mix.is_at_limit(best.region, now):
             return best
         others = [
-            each
-            for each in choices
-            if not self._mix.is_full(each.region, now)
-            and not is_hopeless(each, left_s)
-            and self.load_of(each.entry).is_sound(now)
+            option
+            for option in choices
+            if not self._mix.is_at_limit(option.region, now)
+            and not is_too_late(option, remaining_s)
+            and self.load_of(option.entry).is_healthy(now)
         ]
-        return min(others, key=loss_of, default=best)
+        return min(others, key=expected_loss, default=best)
 
-    def record_send(self, demand: Demand, choice: Choice) -> Underway:
+    def record_send(self, demand: Demand, choice: Choice) -> InFlightRequest:
         """A request is sent."""
         entry = choice.entry
         now = trio.current_time()
-        self._mix.note(choice.region, now)
+        self._mix.record(choice.region, now)
         if self._fleet.is_cold(entry.start):
             self._cold.record_sent(entry.start, choice.region, cold_per_s(demand.policy))
-        stays_s = choice.expected.wait_s + choice.expected.service_s
-        return self.load_of(entry).record_send(now, stays_s)
+        expected_stay_s = choice.expected.wait_s + choice.expected.service_s
+        return self.load_of(entry).record_send(now, expected_stay_s)
 
-    def record_end(self, entry: ServerEntry, underway: Underway) -> None:
+    def record_end(self, entry: ServerEntry, request: InFlightRequest) -> None:
         """A request that was sent is over."""
-        self.load_of(entry).record_end(underway)
+        self.load_of(entry).record_end(request)
 
     def record_answer(self, demand: Demand, choice: Choice, seen: Observation) -> None:
         """Take note of an answer, before ``ended``."""
@@ -177,10 +189,10 @@
             return
         service_s = max(0.001, seen.latency_s - round_trip_s)
         expected_s = max(0.001, choice.expected.latency_s - round_trip_s)
-        load.note_latency(service_s, expected_s, now)
-        self._learned.warm_of(entry).note(demand.key, now)
+        load.record_latency(service_s, expected_s, now)
+        self._estimates.warm_of(entry).record(demand.key, now)
         if choice.occupancy < entry.slots - 1:
-            self._learned.record_answer(
+            self._estimates.record_answer(
                 demand.route, demand.service, service_s, seen.reply_bytes, now
             )
 
@@ -211,5 +223,5 @@
 
     def remove(self, start: ServerStart) -> None:
         """Forget a backend server that is gone, or has started again."""
-        self._learned.remove(start)
+        self._estimates.remove(start)
         self._cold.remove(start)
--- a/src/wagtailpoint/placement/ranking.py
+++ b/src/wagtailpoint/placement/ranking.py
@@ -6,11 +6,11 @@
 from wagtailpoint.discovery.fleet import Candidate, Fleet
 from wagtailpoint.rendezvous import rendezvous_score
 
-MOST_REMEMBERED: Final = 8192
+MAX_CACHED_ORDERS: Final = 8192
 """Keys whose order is remembered; each takes about 1 KB."""
 
-MOST_ANYWHERE: Final = 6
-MOST_NEAR: Final = 3
+MAX_GLOBAL_CANDIDATES: Final = 6
+MAX_LOCAL_CANDIDATES: Final = 3
 """How many are ordered for one key, of all and of the own failure domain and region: enough to go
 on to when the first ones were tried, are full or can't be reached."""
 
@@ -25,14 +25,14 @@
         rank: Its place among all that may serve the request; 0 is the one that all instances know.
         in_domain: It is in the own failure domain.
         in_region: It is in the own region.
-        first_of_region: It is the first one there.
+        is_first_in_region: It is the first one there.
     """
 
     candidate: Candidate
     rank: int
     in_domain: bool
     in_region: bool
-    first_of_region: bool
+    is_first_in_region: bool
 
 
 class KeyOrder(NamedTuple):
@@ -66,45 +66,49 @@
         self._own_domain = own_domain
         self._own_region = own_region
         self._generation = -1
-        self._known: dict[tuple[str, str, frozenset[str] | None], KeyOrder] = {}
+        self._orders: dict[tuple[str, str, frozenset[str] | None], KeyOrder] = {}
 
-    def of(self, service: str, key: str, home_regions: frozenset[str] | None) -> KeyOrder:
+    def order_candidates(
+        self, service: str, key: str, home_regions: frozenset[str] | None
+    ) -> KeyOrder:
         """The candidates for a key, in the regions ``home_regions`` only, unless that is None."""
-        if self._generation != self._fleet.generation or len(self._known) > MOST_REMEMBERED:
-            self._known = {}
+        if self._generation != self._fleet.generation or len(self._orders) > MAX_CACHED_ORDERS:
+            self._orders = {}
             self._generation = self._fleet.generation
-        found = self._known.get((service, key, home_regions))
+        found = self._orders.get((service, key, home_regions))
         if found is None:
             position = rendezvous_score(key, "") / _FULL_SCALE
             found = KeyOrder(position, tuple(self._order(service, key, home_regions)))
-            self._known[service, key, home_regions] = found
+            self._orders[service, key, home_regions] = found
         return found
 
     def _order(self, service: str, key: str, home_regions: frozenset[str] | None) -> list[Ranked]:
         allowed = [
-            each
-            for each in self._fleet.candidates(service)
-            if home_regions is None or each.region in home_regions
+            candidate
+            for candidate in self._fleet.candidates(service)
+            if home_regions is None or candidate.region in home_regions
         ]
-        allowed.sort(key=lambda each: -rendezvous_score(key, each.entry.server_id))
-        first_here = next((each for each in allowed if each.region == self._own_region), None)
+        allowed.sort(key=lambda candidate: -rendezvous_score(key, candidate.entry.server_id))
+        first_in_region = next(
+            (candidate for candidate in allowed if candidate.region == self._own_region), None
+        )
         ranked = [
             Ranked(
-                candidate=each,
+                candidate=candidate,
                 rank=rank,
-                in_domain=each.entry.failure_domain == self._own_domain,
-                in_region=each.region == self._own_region,
-                first_of_region=each is first_here,
+                in_domain=candidate.entry.failure_domain == self._own_domain,
+                in_region=candidate.region == self._own_region,
+                is_first_in_region=candidate is first_in_region,
             )
-            for rank, each in enumerate(allowed)
+            for rank, candidate in enumerate(allowed)
         ]
-        near = [each for each in ranked if each.in_region][:MOST_NEAR]
-        nearest = [each for each in ranked if each.in_domain][:MOST_NEAR]
-        kept = {each.rank for each in (*ranked[:MOST_ANYWHERE], *near, *nearest)}
+        near = [candidate for candidate in ranked if candidate.in_region][:MAX_LOCAL_CANDIDATES]
+        nearest = [candidate for candidate in ranked if candidate.in_domain][:MAX_LOCAL_CANDIDATES]
+        kept = {candidate.rank for candidate in (*ranked[:MAX_GLOBAL_CANDIDATES], *near, *nearest)}
         return [ranked[rank] for rank in sorted(kept)]
 
 
-def preferred_of(usable: Sequence[Ranked]) -> list[Ranked]:
+def select_preferred(usable: Sequence[Ranked]) -> list[Ranked]:
     """Those of the usable backend servers to which a request should go, the first of all in front.
 
     The first of all, of the own failure domain and of the own region. With one more of all every
@@ -112,6 +116,6 @@
     takes three times as long for left no room for others.
     """
     first = usable[:1]
-    nearest = [each for each in usable if each.in_domain][:1]
-    near = [each for each in usable if each.in_region][:1]
+    nearest = [candidate for candidate in usable if candidate.in_domain][:1]
+    near = [candidate for candidate in usable if candidate.in_region][:1]
     return list(dict.fromkeys((*first, *nearest, *near)))
--- a/src/wagtailpoint/placement/utilisation.py
+++ b/src/wagtailpoint/placement/utilisation.py
@@ -4,7 +4,7 @@
 
 from wagtailpoint.discovery.fleet import Fleet
 from wagtailpoint.placement.distances import Distances
-from wagtailpoint.placement.learned import Learned
+from wagtailpoint.placement.estimates import Estimates
 
 UPDATE_INTERVAL_S: Final = 0.1
 
@@ -12,30 +12,30 @@
 class Utilisation:
     """The part of all slots of a service that is in use, as far as this instance knows."""
 
-    def __init__(self, *, fleet: Fleet, distances: Distances, learned: Learned) -> None:
+    def __init__(self, *, fleet: Fleet, distances: Distances, estimates: Estimates) -> None:
         """Make it.
 
         Args:
             fleet: The backend servers.
             distances: How far they are.
-            learned: Their load.
+            estimates: Their load.
         """
         self._fleet = fleet
         self._distances = distances
-        self._learned = learned
-        self._known: dict[str, tuple[float, float]] = {}
+        self._estimates = estimates
+        self._cached: dict[str, tuple[float, float]] = {}
 
-    def of(self, service: str, now: float) -> float:
+    def estimate(self, service: str, now: float) -> float:
         """From 0 to 1; worked out now and then, for all requests."""
-        known = self._known.get(service)
+        known = self._cached.get(service)
         if known is not None and now - known[0] < UPDATE_INTERVAL_S:
             return known[1]
         used, slots = 0.0, 0
         for candidate in self._fleet.candidates(service):
             entry = candidate.entry
             round_trip_s = self._distances.round_trip_s(entry.failure_domain)
-            used += min(entry.slots, self._learned.load_of(entry).occupancy(now, round_trip_s))
+            used += min(entry.slots, self._estimates.load_of(entry).occupancy(now, round_trip_s))
             slots += entry.slots
         utilisation = used / slots if slots else 0.0
-        self._known[service] = (now, utilisation)
+        self._cached[service] = (now, utilisation)
         return utilisation
--- a/tests/cover/test_agreed_place.py
+++ b/tests/cover/test_agreed_place.py
@@ -19,7 +19,7 @@
 from wagtailpoint.discovery.fleet import Fleet
 from wagtailpoint.placement.choice import Choice, Demand, Observation
 from wagtailpoint.placement.placement import Placement
-from wagtailpoint.placement.route_costs import MOST_UNCACHED_RUN, RouteCost
+from wagtailpoint.placement.route_costs import MAX_UNCACHED_RUN, RouteCost
 
 KEYS = 60
 CACHED_S = 0.08
@@ -120,11 +120,11 @@
         """
         cost = RouteCost(objective_s=0.3)
         for number in range(60):
-            cost.note(CACHED_S if number % 3 == 0 else UNCACHED_S, 400, number * 0.05)
+            cost.record(CACHED_S if number % 3 == 0 else UNCACHED_S, 400, number * 0.05)
         self.assertLess(cost.service_s(3.0), 1.5 * CACHED_S)
 
     def test_belief_that_is_too_low_is_corrected(self) -> None:
         cost = RouteCost(objective_s=0.3)
-        for number in range(4 * MOST_UNCACHED_RUN):
-            cost.note(1.0, 400, number * 0.05)
+        for number in range(4 * MAX_UNCACHED_RUN):
+            cost.record(1.0, 400, number * 0.05)
         self.assertGreater(cost.service_s(number * 0.05), 0.8)
--- a/tests/cover/test_learned.py
+++ b/tests/cover/test_learned.py
@@ -7,8 +7,8 @@
     make_distances,
 )
 from wagtailpoint.placement.expectation import UNCACHED_FACTOR
-from wagtailpoint.placement.key_reuse import HORIZON_S, KeyReuse, estimated_keys
-from wagtailpoint.placement.route_costs import FIRST_SERVICE_PART, RouteCost
+from wagtailpoint.placement.key_reuse import REUSE_HORIZON_S, KeyReuse, estimate_key_count
+from wagtailpoint.placement.route_costs import INITIAL_SERVICE_FRACTION, RouteCost
 from wagtailpoint.placement.server_load import LoadReport, ServerLoad, parse_load
 
 DOMAINS = ("a-1", "a-2", "b-1")
@@ -74,7 +74,7 @@
         """
         load = ServerLoad()
         load.record_answer(9.0, failed=False)
-        load.note_latency(0.08, 0.1, 9.0)
+        load.record_latency(0.08, 0.1, 9.0)
         load.record_send(10.0, 0.1)
         self.assertFalse(load.is_suspect(10.3, 0.07))
         self.assertTrue(load.is_suspect(10.5, 0.07))
@@ -90,7 +90,7 @@
         load = ServerLoad()
         for number in range(30):
             load.record_answer(number / 10, failed=False)
-            load.note_latency(0.4, 0.1, number / 10)
+            load.record_latency(0.4, 0.1, number / 10)
         load.record_send(10.0, 0.1)
         self.assertFalse(load.is_suspect(10.9, 0.07))
         self.assertTrue(load.is_suspect(11.5, 0.07))
@@ -107,12 +107,14 @@
 class KeyReuseTest(unittest.TestCase):
     def test_uses_follow_the_rate_and_the_number_of_keys(self) -> None:
         reuse = KeyReuse()
-        self.assertEqual(reuse.uses(1, 0.0), 1.0)
+        self.assertEqual(reuse.expected_uses(1, 0.0), 1.0)
         for number in range(400):
-            reuse.note(str(number % 10), number * 0.1)
-        uses = reuse.uses(1, 40.0)
-        self.assertLess(abs(uses - HORIZON_S), 0.1 * HORIZON_S)  # 10 a second of 10 keys.
-        self.assertAlmostEqual(reuse.uses(2, 40.0), 2 * uses)
+            reuse.record(str(number % 10), number * 0.1)
+        expected_uses = reuse.expected_uses(1, 40.0)
+        self.assertLess(
+            abs(expected_uses - REUSE_HORIZON_S), 0.1 * REUSE_HORIZON_S
+        )  # 10 a second of 10 keys.
+        self.assertAlmostEqual(reuse.expected_uses(2, 40.0), 2 * expected_uses)
 
     def test_few_requests_for_many_keys(self) -> None:
         """Symptom: in a large deployment, half of the first requests meet an uncached object.
@@ -123,17 +125,17 @@
         """
         reuse, random = KeyReuse(), Random(1)
         for number in range(24):
-            reuse.note(str(random.randrange(270)), number / 8)
-            self.assertLess(reuse.uses(1, number / 8), 1.5)
+            reuse.record(str(random.randrange(270)), number / 8)
+            self.assertLess(reuse.expected_uses(1, number / 8), 1.5)
 
     def test_number_of_keys_by_the_repeats(self) -> None:
         random = Random(2)
         for keys, requests in ((10, 100), (270, 100), (270, 1000), (1000, 300)):
             seen = {random.randrange(keys) for _ in range(requests)}
-            estimate = estimated_keys(requests, len(seen))
+            estimate = estimate_key_count(requests, len(seen))
             self.assertLess(abs(estimate / keys - 1), 0.25, (keys, requests, estimate))
-        self.assertEqual(estimated_keys(0, 0), 0.0)
-        self.assertAlmostEqual(estimated_keys(100, 1), 1.0, delta=0.01)
+        self.assertEqual(estimate_key_count(0, 0), 0.0)
+        self.assertAlmostEqual(estimate_key_count(100, 1), 1.0, delta=0.01)
 
 
 class DistancesTest(unittest.TestCase):
@@ -168,9 +170,9 @@
     def test_learned_and_forgotten(self) -> None:
         cost = RouteCost(objective_s=0.3)
         for number in range(100):
-            cost.note(0.3, 1000, number / 10)
+            cost.record(0.3, 1000, number / 10)
         self.assertAlmostEqual(cost.service_s(10.0), 0.3, delta=0.02)
-        self.assertAlmostEqual(cost.service_s(30.0), 0.3 * FIRST_SERVICE_PART, delta=0.01)
+        self.assertAlmostEqual(cost.service_s(30.0), 0.3 * INITIAL_SERVICE_FRACTION, delta=0.01)
 
     def test_a_route_with_a_late_objective_is_taken_to_work_for_long(self) -> None:
         """Symptom: for eight seconds half of all requests meet an object that is not cached.
@@ -186,6 +188,6 @@
     def test_one_wild_sample_changes_little(self) -> None:
         cost = RouteCost(objective_s=0.3)
         for number in range(100):
-            cost.note(0.1, 1000, number / 10)
-        cost.note(60.0, 1000, 10.0)
+            cost.record(0.1, 1000, number / 10)
+        cost.record(60.0, 1000, 10.0)
         self.assertLess(cost.service_s(10.0), 0.11)
--- a/tests/cover/test_placement.py
+++ b/tests/cover/test_placement.py
@@ -268,12 +268,12 @@
                 await trio.sleep(0.02)  # 50 a second of 0.1 s each: 5 slots are wanted.
             for _ in range(60):
                 part.record_request("desk", 0.1)
-                part.of("desk", "a-1")
+                part.domain_fraction("desk", "a-1")
                 await trio.sleep(0.6)
                 for _ in range(30):
                     part.record_request("desk", 0.1)
-            self.assertLess(part.of("desk", "a-1"), 0.6)
-            self.assertEqual(part.of("desk", "b-1"), 1.0)
+            self.assertLess(part.domain_fraction("desk", "a-1"), 0.6)
+            self.assertEqual(part.domain_fraction("desk", "b-1"), 1.0)
 
         logger.disable("wagtailpoint")
         self.addCleanup(logger.enable, "wagtailpoint")
@@ -285,7 +285,7 @@
         service_s=0.08,
         ahead_service_s=0.08,
         cached=0.95,
-        uses=1.0,
+        expected_uses=1.0,
         round_trip_s=0.001,
         occupancy=0.0,
         slots=3,
@@ -316,7 +316,9 @@
         self.assertLess(far, self.loss(cached=0.05))
 
     def test_cost_of_an_uncached_object_is_spread_over_its_uses(self) -> None:
-        self.assertLess(self.loss(cached=0.05, uses=20.0), self.loss(cached=0.05, uses=2.0))
+        self.assertLess(
+            self.loss(cached=0.05, expected_uses=20.0), self.loss(cached=0.05, expected_uses=2.0)
+        )
 
     def test_uncached_objects_cost_more_when_slots_are_scarce(self) -> None:
         idle = self.loss(cached=0.05) - self.loss()
