--- a/src/wagtailpoint/placement/__init__.py
+++ b/src/wagtailpoint/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which backend server a request goes to: affinity first, then load, nearness and evidence."""
+"""Choice of a backend server for a request by affinity, load, distance and observed failures."""
--- a/src/wagtailpoint/placement/cached_fraction.py
+++ b/src/wagtailpoint/placement/cached_fraction.py
@@ -1,4 +1,4 @@
-"""Which part of the affinity keys a failure domain holds: as many as its slots can serve."""
+"""Fraction of the affinity keys that each failure domain caches, sized by its slots."""
 
 import math
 from collections import Counter
@@ -11,34 +11,35 @@
 from wagtailpoint.placement.entry_counts import EntryCounts
 
 INITIAL_UTILISATION: Final = 0.6
-"""The demand that is assumed before any was measured: all slots of the service, used by so much, by
-the callers of all failure domains alike. Assuming none, a failure domain with few backend servers
-would take all requests of its callers for seconds, and then lose most to other regions at once."""
+"""Utilisation of the service's slots that is assumed before any demand was measured, spread evenly
+over the failure domains. If no demand were assumed, a failure domain with few backend servers would
+take all requests of its callers for seconds and then lose most of them to other regions at once."""
 
 TARGET_UTILISATION: Final = 0.6
-"""Of the slots of a failure domain, by the requests for the keys that it holds. Above it requests
-wait for each other; what is free serves what spills over from elsewhere."""
+"""Utilisation of a failure domain's slots by the requests for the keys cached there. Above it
+requests queue behind each other; the free slots serve requests that spill over from elsewhere."""
 
 REGION_TARGET_UTILISATION: Final = 0.4
-"""The same of the slots of a region, by the keys that all its instances send there first. It is
-lower since they have no second place: after a start all of them are fetched there at the same time,
-each for the time of four that are cached."""
+"""Utilisation of a region's slots by the keys that all its instances send there first. It is lower
+because these keys have no second place: after a start all of them are fetched there at the same
+time, and each fetch takes as long as four requests for cached objects."""
 
 RATE_HALF_LIFE_S: Final = 4.0
-"""The demand is averaged over a few seconds: keys that change hands with each fluctuation would
-find no cache warm."""
+"""Half-life of the demand average. If keys moved with each short fluctuation, they would find no
+warm cache."""
 
 UPDATE_INTERVAL_S: Final = 0.5
 MAX_STEP: Final = 0.1
-"""The part changes by so much in an interval at most: each key that moves meets a cold cache, and a
-belief that is wrong for a moment must not move them all."""
+"""Maximum change of a failure domain's fraction per update. Each key that moves meets a cold cache,
+so an estimate that is wrong for a moment must not move all keys."""
 
 MAX_REGION_STEP: Final = 0.05
-"""The same of a region: a key that moves changes the region in which its requests run."""
+"""Maximum change of a region's fraction per update. It is lower than ``MAX_STEP`` because the
+requests of a key that moves run in another region."""
 
 
 class _ServiceDemand:
-    """The demand of this instance's callers for one service."""
+    """Slots of one service that the callers of this instance use, as a decaying average."""
 
     def __init__(self, slots: float, now: float) -> None:
         self.slots = slots
@@ -48,46 +49,48 @@
         self.updated_at = -math.inf
 
     def decay(self, now: float) -> None:
+        """Decay the demand until ``now``, in seconds."""
         self.slots *= math.exp(-math.log(2) * (now - self.decayed_at) / RATE_HALF_LIFE_S)
         self.decayed_at = now
 
 
 class CachedFraction:
-    """For each service and failure domain, the part of the keys that shall be cached there.
+    """Computes the fraction of a service's keys to cache in each failure domain and region.
 
-    A failure domain with few backend servers can't serve all the keys of its callers. Were they
-    chosen by load alone, every key would be served there now and then, and none would be found in
-    a cache: all would take three times as long. So a fixed part of the keys is served there, and
-    the others elsewhere, where their caches are warm.
+    A failure domain with few backend servers cannot serve all keys of its callers. If backend
+    servers were chosen by load alone, every key would be served there now and then, none would be
+    found in a cache, and all requests would take three times as long. So a fixed fraction of the
+    keys is served there, and the others elsewhere, where their objects are cached.
 
-    Every failure domain is assumed to have the same demand as this instance's own.
+    All failure domains are assumed to have the demand of this instance's own.
     """
 
     def __init__(self, *, fleet: Fleet, entries: EntryCounts) -> None:
-        """Make it.
+        """Initialise the demand as unknown for all services.
 
         Args:
             fleet: The backend servers.
-            entries: How many instances share the callers.
+            entries: The numbers of instances that share the callers.
         """
         self._fleet = fleet
         self._entries = entries
         self._demands: dict[str, _ServiceDemand] = {}
 
     def record_request(self, service: str, service_s: float) -> None:
-        """A request came that will hold a slot for so many seconds if its object is cached."""
+        """Record a request that takes ``service_s`` seconds of a slot if its object is cached."""
         now = trio.current_time()
         demand = self._demand(service, now)
         demand.decay(now)
-        # The integral of the decay: a steady rate of slots settles at just that value.
+        # The factor normalises the decaying sum: a steady demand settles at the number of slots in
+        # use.
         demand.slots += service_s * math.log(2) / RATE_HALF_LIFE_S
 
     def domain_fraction(self, service: str, failure_domain: str) -> float:
-        """The part of the keys, 0 to 1, that a failure domain holds."""
+        """Return the fraction of the keys, 0 to 1, to cache in a failure domain."""
         return self._updated(service).fractions.get(failure_domain, 1.0)
 
     def region_fraction(self, service: str, region: str) -> float:
-        """The part of the keys, 0 to 1, that a region holds for its own callers."""
+        """Return the fraction of the keys, 0 to 1, that a region caches for its own callers."""
         return self._updated(service).region_fractions.get(region, 1.0)
 
     def _updated(self, service: str) -> _ServiceDemand:
@@ -104,7 +107,7 @@
         return demand
 
     def _initial_slots(self, service: str) -> float:
-        """The slots that the callers of this instance may be expected to use."""
+        """Return the number of slots that this instance's callers are assumed to use at first."""
         slots = sum(candidate.entry.slots for candidate in self._fleet.candidates(service))
         domains = max(1, self._fleet.failure_domains)
         return INITIAL_UTILISATION * slots / domains / self._entries.in_domain
@@ -129,7 +132,7 @@
 def _step_towards(
     fractions: dict[str, float], slots: Mapping[str, int], wanted_slots: float, step: float
 ) -> None:
-    """Move the part of each place towards what its slots can serve."""
+    """Move the fraction of each failure domain or region towards what its slots can serve."""
     for place, available in slots.items():
         fraction = min(1.0, available / max(0.01, wanted_slots))
         previous = fractions.get(place, fraction)
--- a/src/wagtailpoint/placement/choice.py
+++ b/src/wagtailpoint/placement/choice.py
@@ -1,4 +1,4 @@
-"""What goes into the choice of a backend server, and what comes out of it."""
+"""Input and result types of the choice of a backend server."""
 
 from collections.abc import Collection, Sequence
 from typing import Final, NamedTuple
@@ -9,20 +9,22 @@
 from wagtailpoint.routing.table import HostRoute, ServicePolicy
 
 FREE_SLOT_SPEEDUP_FRACTION: Final = 0.5
-"""The part of its expected service time that a request may be faster by at a free slot."""
+"""At a free slot a request may turn out faster than expected by this fraction of its service
+time."""
 
 
 class Demand(NamedTuple):
-    """What a request needs.
+    """The requirements of a request that is to be placed.
 
     Attributes:
-        route: Its route.
-        service: The service that the route sent it to.
-        policy: What the configuration says of the service.
-        key: Its affinity key; empty if it has none.
-        tried: Backend servers that it was sent to before.
-        remaining_s: Seconds left until its deadline.
-        objective_remaining_s: Seconds left in which an answer has its full value.
+        route: The request's route.
+        service: The service that the route selected.
+        policy: The configuration of the service; None if it is unknown.
+        key: The affinity key; empty if the request has none.
+        tried: The ids of the backend servers that the request was sent to before.
+        remaining_s: Seconds until the request's deadline.
+        objective_remaining_s: Seconds until the latency objective, after which an answer is worth
+            less.
     """
 
     route: HostRoute
@@ -35,16 +37,16 @@
 
 
 class Choice(NamedTuple):
-    """The backend server for a request, and what it was chosen by.
+    """The backend server chosen for a request, with the estimates behind the choice.
 
     Attributes:
         entry: The backend server.
-        region: Where it is.
-        rank: Its rank for the key among all.
-        cached: The chance that the object is cached there.
-        expected: What to expect there.
-        occupancy: The requests believed to be there.
-        report_age_s: How old the newest report of its load is, in seconds.
+        region: The region of the backend server.
+        rank: The rank of the backend server for the affinity key among all candidates.
+        cached: The probability that the object is cached there.
+        expected: The expected latency and loss.
+        occupancy: The estimated number of requests there.
+        report_age_s: The age of the backend server's newest load report, in seconds.
     """
 
     entry: ServerEntry
@@ -57,13 +59,13 @@
 
 
 class Declined(NamedTuple):
-    """A backend server that has no room for a request.
+    """A backend server without capacity for a request.
 
     Attributes:
         entry: The backend server.
-        reason: ``full``, or ``cold`` if it gets no more requests in this moment.
-        occupancy: The requests believed to be there.
-        report_age_s: How old the newest report of its load is, in seconds.
+        reason: ``full``, or ``cold`` if its slow start allows no further request at the moment.
+        occupancy: The estimated number of requests there.
+        report_age_s: The age of the backend server's newest load report, in seconds.
     """
 
     entry: ServerEntry
@@ -73,11 +75,11 @@
 
 
 class NotPlaced(NamedTuple):
-    """Why a request can't be sent now.
+    """The result for a request that cannot be sent at the moment.
 
     Attributes:
-        reason: For the log.
-        declined: The backend servers that it should go to, and why it can't.
+        reason: The reason, for the log.
+        declined: The considered backend servers, each with the reason why it was not chosen.
     """
 
     reason: str
@@ -85,15 +87,15 @@
 
 
 class Observation(NamedTuple):
-    """How an exchange ended, as far as the backend server is concerned.
+    """The result of an exchange with a backend server.
 
     Attributes:
-        latency_s: Until the end of the answer, in seconds.
-        reply_bytes: Its length.
-        failed: It was a failure of the backend server's own.
-        shed: It was refused without being run.
-        report: The load that came with it.
-        cold_s: How much longer the backend server stays cold, if it said so.
+        latency_s: The time until the end of the answer, in seconds.
+        reply_bytes: The length of the answer.
+        failed: The answer was a failure of the backend server itself.
+        shed: The backend server refused the request without running it.
+        report: The load report that came with the answer; None if there was none.
+        cold_s: The seconds that the backend server stays cold, 0 if the answer did not say so.
     """
 
     latency_s: float
@@ -105,15 +107,15 @@
 
 
 def expected_loss(choice: Choice) -> float:
-    """What is lost of the answer's value by this choice."""
+    """Return the expected loss of the answer's value for this choice."""
     return choice.expected.loss
 
 
 def is_too_late(choice: Choice, remaining_s: float) -> bool:
-    """Whether an answer can hardly come in time.
+    """Return whether an answer is unlikely to arrive within the remaining time.
 
-    With a free slot the service time is given the benefit of the doubt: the slot costs nobody else
-    anything, and the answer, if only to a late request, shows what is true now.
+    At a free slot a shorter service time than expected is assumed: the request delays no other
+    one, and its answer, even if it is late, corrects the estimate.
     """
     expected = choice.expected
     if choice.occupancy < choice.entry.slots:
--- a/src/wagtailpoint/placement/cold_pacing.py
+++ b/src/wagtailpoint/placement/cold_pacing.py
@@ -1,4 +1,4 @@
-"""How many requests a cold backend server gets, over all instances."""
+"""Rate limit for cold backend servers, shared by all instances."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -8,28 +8,29 @@
 from wagtailpoint.discovery.entries import ServerStart
 
 SAFETY_FRACTION = 0.8
-"""The part of the bound that is spent: requests sent evenly arrive bunched by delays on the way."""
+"""Fraction of the bound that is used, since network delays bunch requests that are sent evenly."""
 
 BURST_REQUESTS = 1.0
 
 SENDER_RATE_PER_S = 5.0
-"""Requests a second of one sender, its burst included. Fewer senders use more of the bound, as each
-keeps back a burst; when two instances disagree who sends, one of few is a larger part too many."""
+"""Rate of one sender in requests a second, including its burst. Each sender reserves a burst, so
+fewer senders use more of the bound; but while two instances disagree about the senders, the surplus
+sender adds a larger share the fewer senders there are."""
 
 
 class ColdBound(NamedTuple):
-    """What a cold backend server may get in a second, from all instances together.
+    """Bound on the requests that all instances together send to a cold backend server.
 
     Attributes:
-        overage: So many times its own rate,
-        slack: and so many requests more.
+        overage: The factor by which the backend server's cold rate is multiplied.
+        slack: The requests a second that are added to it.
     """
 
     overage: float
     slack: float
 
     def per_second(self, cold_per_s: float) -> float:
-        """Requests a second for a backend server that bears ``cold_per_s``."""
+        """Return the bound in requests a second for a backend server with this cold rate."""
         return cold_per_s * self.overage + self.slack
 
 
@@ -40,11 +41,11 @@
 
 
 class ColdPacing:
-    """A token bucket for each cold backend server, with this instance's part of the bound.
+    """A token bucket for each cold backend server, with this instance's share of the bound.
 
-    Every sender spends its own part, so that the sum keeps the bound without any message. Of ``n``
-    senders each may send its burst and a second's rate within one second, so the rate of one is
-    what is left of its part after the burst.
+    Each sender keeps to its own share, so the sum stays within the bound without any message. One
+    sender may send its burst and a second's rate within the same second, so its rate is its share
+    less the burst.
     """
 
     def __init__(
@@ -53,27 +54,27 @@
         bound: Callable[[], ColdBound],
         count_senders: Callable[[ServerStart, str, int], int],
     ) -> None:
-        """Make it.
+        """Initialise the buckets.
 
         Args:
-            bound: Of all instances together, as it is now.
-            count_senders: Given a backend server, its region and how many may share it: how many
-                instances do, 0 if this one does not.
+            bound: Returns the current bound of all instances together.
+            count_senders: Returns how many instances send to a backend server, 0 if this one is
+                not among them, given its start, its region and the maximum number of senders.
         """
         self._bound = bound
         self._count_senders = count_senders
         self._buckets: dict[ServerStart, _Bucket] = {}
 
     def may_send(self, start: ServerStart, region: str, cold_per_s: float) -> bool:
-        """Whether a request may go to a cold backend server now."""
+        """Return whether a request may be sent to a cold backend server at the moment."""
         return self._refilled(start, region, cold_per_s).tokens >= 1.0
 
     def record_sent(self, start: ServerStart, region: str, cold_per_s: float) -> None:
-        """Spend what a request costs."""
+        """Take a token for a request that is sent."""
         self._refilled(start, region, cold_per_s).tokens -= 1.0
 
     def remove(self, start: ServerStart) -> None:
-        """Forget a backend server that is gone."""
+        """Remove the bucket of a backend server that is gone."""
         self._buckets.pop(start, None)
 
     def _refilled(self, start: ServerStart, region: str, cold_per_s: float) -> _Bucket:
@@ -83,7 +84,7 @@
             bucket = self._buckets[start] = _Bucket(now)
         bound = SAFETY_FRACTION * self._bound().per_second(cold_per_s)
         senders = self._count_senders(start, region, max(1, int(bound / SENDER_RATE_PER_S)))
-        # A part below one burst is no part: the bursts of all would come in the same second.
+        # A sender with a share below one burst must not send: all bursts could come in one second.
         rate = bound / senders - BURST_REQUESTS if senders else -1.0
         burst = BURST_REQUESTS if rate >= 0 else 0.0
         bucket.tokens = min(burst, bucket.tokens + max(0.0, rate) * (now - bucket.refilled_at))
--- a/src/wagtailpoint/placement/cold_senders.py
+++ b/src/wagtailpoint/placement/cold_senders.py
@@ -1,4 +1,4 @@
-"""Which instances send to a cold backend server: a few, agreed without any message."""
+"""The instances that send to a cold backend server: a few, agreed on without messages."""
 
 import math
 from collections.abc import Callable, Iterable, Mapping
@@ -13,17 +13,18 @@
 from wagtailpoint.rendezvous import rendezvous_score
 
 POLL_INTERVAL_S: Final = 0.1
-"""How often it is looked who is alive."""
+"""Interval between updates of the set of live instances."""
 
 
 class ColdSenders:
-    """Chooses for each cold backend server the instances that share what it bears.
+    """Selects the instances that share the bound of each cold backend server.
 
-    Its bound, spread over all instances, leaves each of them less than a request a second, and
-    wastes what each keeps back for bursts. A few that are the same in everybody's view use most.
+    If the bound were spread over all instances, each would get less than one request a second, and
+    most of the bound would be reserved for bursts. A few senders, which all instances derive from
+    the same membership, use most of it.
 
-    Instances that are not heard of are counted for some minutes as if they lived: they may be cut
-    off and go on, and the sum over both sides must keep the bound.
+    Instances that are believed dead count as alive for some minutes: they may be on the other side
+    of a network partition and go on sending, and the sum over both sides must keep the bound.
     """
 
     def __init__(
@@ -33,12 +34,12 @@
         members: Callable[[], Iterable[Member]],
         instances: Callable[[], int],
     ) -> None:
-        """Make it.
+        """Initialise the selection.
 
         Args:
             own: The address of this instance.
-            members: The instances as this one sees them, the dead among them.
-            instances: How many there may be, also before all of them are known.
+            members: Returns the members known to this instance, dead ones included.
+            instances: Returns how many instances there may be, even if not all are known.
         """
         self._own = own
         self._members = members
@@ -49,17 +50,18 @@
         self._most_capable: frozenset[str] = frozenset()
 
     def count_senders(self, start: ServerStart, region: str, wanted: int) -> int:
-        """How many instances share what a backend server bears; 0 if this one has no part.
+        """Return how many instances send to a backend server, 0 if this one is not among them.
 
         Args:
             start: The backend server.
-            region: Where it is: its cache is filled for the callers there first.
-            wanted: How many may share it.
+            region: The region of the backend server; instances there are preferred, so that its
+                cache is filled for the callers of that region first.
+            wanted: The maximum number of senders.
         """
         self._poll_members()
         instances = self._instances()
         if len(self._last_alive_at) < instances:
-            # Some are not known yet, and may choose others than we would: all share.
+            # Instances that are not known yet may select other senders, so all instances share.
             return instances
         wanted = min(wanted, len(self._last_alive_at))
         senders = sorted(
@@ -88,19 +90,20 @@
             self._most_capable = self._find_most_capable()
 
     def _find_most_capable(self) -> frozenset[str]:
-        """The most capable instances of each failure domain: requests come to them first.
+        """Return the instances with the most capacity of each failure domain.
 
-        By their capacity only, and not by who is an entry at the moment: while two instances
-        disagreed on that, their senders would be others, and together exceed the bound.
+        Callers' requests come to these first. Only capacity counts, not which instances are entries
+        at the moment: while two instances disagreed about the entries, they would select different
+        senders, which together would exceed the bound.
         """
         domains: dict[str, list[Member]] = {}
         for address in self._last_alive_at:
             member = self._members_by_address[address]
             domains.setdefault(member.failure_domain, []).append(member)
         return frozenset(
-            member.address
+            capable.address
             for members in domains.values()
-            for member in sorted(
+            for capable in sorted(
                 members, key=lambda member: capacity_sort_key(member, ENTRY_ORDER)
             )[:MIN_ENTRIES]
         )
--- a/src/wagtailpoint/placement/distances.py
+++ b/src/wagtailpoint/placement/distances.py
@@ -1,4 +1,4 @@
-"""How far each failure domain is: measured when connections open, assumed before that."""
+"""Round-trip times to the failure domains, measured when connections open."""
 
 from collections.abc import Mapping
 from typing import Final
@@ -6,25 +6,25 @@
 INITIAL_OWN_DOMAIN_ROUND_TRIP_S: Final = 0.001
 INITIAL_OWN_REGION_ROUND_TRIP_S: Final = 0.003
 INITIAL_OTHER_REGION_ROUND_TRIP_S: Final = 0.1
-"""Round trips that are assumed before any was measured, in seconds: failure domains are about 1 ms
-apart one way, regions 20 to 55 ms. Too long is safer than too short: a region that looks too near
-gets requests that can't be answered in time."""
+"""Round-trip times used before any was measured. One-way latency is about 1 ms between failure
+domains and 20 to 55 ms between regions. A value that is too high is safer than one that is too low:
+a region that seems too near gets requests that cannot be answered in time."""
 
 SHORTER_WEIGHT: Final = 0.5
 LONGER_WEIGHT: Final = 0.05
-"""Weights of a measurement that is shorter or longer than what is believed. Opening a connection
-takes a round trip and whatever delays it, never less, so the belief follows the short ones."""
+"""Weights of a measurement that is shorter or longer than the estimate. Opening a connection takes
+at least one round trip, plus any delay, so the estimate follows the short measurements."""
 
 MAX_SAMPLE_RATIO: Final = 2.0
-"""A measurement counts as no more than so many times what is believed: a lost packet is sent again
-after a second, which says nothing of the distance."""
+"""Measurements are capped at this multiple of the estimate: a lost packet is retransmitted after a
+second, which says nothing about the distance."""
 
 
 class Distances:
-    """Round trips from this instance, in seconds."""
+    """Estimates the round-trip times from this instance to all failure domains."""
 
     def __init__(self, *, failure_domain: str, region: str, region_of: Mapping[str, str]) -> None:
-        """Make it with the places of all failure domains."""
+        """Initialise the estimates; ``region_of`` maps each failure domain to its region."""
         self._failure_domain = failure_domain
         self._region = region
         self._region_of = region_of
@@ -32,25 +32,25 @@
 
     @property
     def failure_domain(self) -> str:
-        """This instance's own failure domain."""
+        """The failure domain of this instance."""
         return self._failure_domain
 
     @property
     def region(self) -> str:
-        """This instance's own region."""
+        """The region of this instance."""
         return self._region
 
     def round_trip_s(self, failure_domain: str) -> float:
-        """The round trip to a failure domain, in seconds."""
+        """Return the round-trip time to a failure domain, in seconds."""
         measured = self._measured.get(failure_domain)
         return self._initial_s(failure_domain) if measured is None else measured
 
     def is_measured(self, failure_domain: str) -> bool:
-        """Whether a connection was ever opened to a backend server there."""
+        """Return whether a connection to the failure domain was ever opened."""
         return failure_domain in self._measured
 
     def record_connect_time(self, failure_domain: str, seconds: float) -> None:
-        """A connection to a backend server there took so long to open."""
+        """Record how many seconds a connection to a backend server there took to open."""
         estimate = self.round_trip_s(failure_domain)
         if failure_domain not in self._measured:
             self._measured[failure_domain] = min(seconds, MAX_SAMPLE_RATIO * estimate)
@@ -60,11 +60,11 @@
         self._measured[failure_domain] = estimate + weight * (seconds - estimate)
 
     def is_own_domain(self, failure_domain: str) -> bool:
-        """Whether it is this instance's own failure domain."""
+        """Return whether a failure domain is the one of this instance."""
         return failure_domain == self._failure_domain
 
     def is_own_region(self, failure_domain: str) -> bool:
-        """Whether it lies in this instance's own region."""
+        """Return whether a failure domain is in the region of this instance."""
         return self._region_of.get(failure_domain) == self._region
 
     def _initial_s(self, failure_domain: str) -> float:
--- a/src/wagtailpoint/placement/entry_counts.py
+++ b/src/wagtailpoint/placement/entry_counts.py
@@ -1,29 +1,29 @@
-"""How many instances get the callers' requests."""
+"""Numbers of instances that share the requests of callers."""
 
 from typing import NamedTuple, Protocol
 
 
 class EntryCounts(Protocol):
-    """How many instances callers are told to use, at least 1 each."""
+    """Numbers of instances that lookups return to callers, each at least 1."""
 
     @property
     def everywhere(self) -> int:
-        """In all regions."""
+        """The number in all regions."""
         ...
 
     @property
     def in_region(self) -> int:
-        """In the region of this instance; they share its callers."""
+        """The number in the region of this instance, which share the region's callers."""
         ...
 
     @property
     def in_domain(self) -> int:
-        """In the failure domain of this instance; they share its callers."""
+        """The number in this instance's failure domain, which share the domain's callers."""
         ...
 
 
 class FixedEntryCounts(NamedTuple):
-    """Counts that do not change, for models and tests."""
+    """Constant counts for models and tests."""
 
     everywhere: int
     in_region: int
--- a/src/wagtailpoint/placement/estimates.py
+++ b/src/wagtailpoint/placement/estimates.py
@@ -1,4 +1,4 @@
-"""What one instance has learned of backend servers and routes."""
+"""Estimates that one instance keeps of backend servers and routes."""
 
 from typing import Final
 
@@ -10,11 +10,12 @@
 from wagtailpoint.routing.table import HostRoute
 
 MAX_ROUTES: Final = 10_000
-"""Routes come and go with the configuration; what was learned of old ones must not fill memory."""
+"""Maximum number of routes with estimates. Routes come and go with the configuration; the estimates
+of removed routes must not fill the memory."""
 
 
 class Estimates:
-    """Beliefs by backend server, each since its start, and by route."""
+    """Estimates by start of a backend server and by route."""
 
     def __init__(self) -> None:
         self._loads: dict[ServerStart, ServerLoad] = {}
@@ -24,21 +25,21 @@
         self._reuse: dict[str, KeyReuse] = {}
 
     def load_of(self, entry: ServerEntry) -> ServerLoad:
-        """The load and health of a backend server."""
+        """Return the estimated load and health of a backend server."""
         load = self._loads.get(entry.start)
         if load is None:
             load = self._loads[entry.start] = ServerLoad()
         return load
 
     def warm_of(self, entry: ServerEntry) -> WarmKeys:
-        """The affinity keys that a backend server has answered."""
+        """Return the affinity keys that a backend server has answered lately."""
         warm = self._warm.get(entry.start)
         if warm is None:
             warm = self._warm[entry.start] = WarmKeys()
         return warm
 
     def cost_of(self, route: HostRoute, service: str) -> RouteCost:
-        """What requests of a route take at a service."""
+        """Return the estimated cost of a route's requests at a service."""
         cost = self._costs.get((route.name, service))
         if cost is None:
             if len(self._costs) >= MAX_ROUTES:
@@ -49,7 +50,7 @@
     def record_answer(
         self, route: HostRoute, service: str, service_s: float, reply_bytes: int, now: float
     ) -> None:
-        """Take note of what one request of a route took at a service."""
+        """Record the service time and the size of the answer of a request."""
         cost = self.cost_of(route, service)
         cost.record(service_s, reply_bytes, now)
         if len(self._means) >= MAX_ROUTES:
@@ -57,12 +58,12 @@
         self._means.setdefault(service, MeanServiceTime()).record(cost.service_s(now), now)
 
     def mean_service_s(self, service: str, now: float) -> float | None:
-        """The mean service time of all requests at a service; None if nothing is known of late."""
+        """Return the mean service time at a service, in seconds; None without a recent sample."""
         mean = self._means.get(service)
         return None if mean is None else mean.value_s(now)
 
     def reuse_of(self, route: HostRoute) -> KeyReuse:
-        """How often the affinity keys of a route come again."""
+        """Return the reuse of the affinity keys of a route."""
         reuse = self._reuse.get(route.name)
         if reuse is None:
             if len(self._reuse) >= MAX_ROUTES:
@@ -71,7 +72,7 @@
         return reuse
 
     def remove(self, start: ServerStart) -> None:
-        """Forget a backend server that is gone, or has started again."""
+        """Remove a backend server that is gone or has restarted."""
         load = self._loads.get(start)
         if load is not None and load.in_flight == 0:
             del self._loads[start]
--- a/src/wagtailpoint/placement/key_reuse.py
+++ b/src/wagtailpoint/placement/key_reuse.py
@@ -1,4 +1,4 @@
-"""How often the same affinity key comes again: what a place in a cache is worth."""
+"""Estimated reuse of the affinity keys of a route, which is the value of caching an object."""
 
 import math
 from typing import Final
@@ -8,27 +8,29 @@
 MAX_KEYS: Final = 4096
 
 KEY_COUNT_INTERVAL_S: Final = 0.2
-"""How often the number of keys is worked out anew."""
+"""Interval between updates of the estimated number of keys."""
 
 PRIOR_REPEATS: Final = 0.1
-"""Counted beside the repeats that came: without any, the number of keys would have no upper end."""
+"""Added to the observed repeats: without any repeat, the estimated number of keys would be
+infinite."""
 
 NEWTON_STEPS: Final = 6
-"""From a start within a factor of 2 they give more digits than the counts are good for."""
+"""Newton iterations. From a start within a factor of 2 they converge beyond the accuracy of the
+counts."""
 
 REUSE_HORIZON_S: Final = 8.0
-"""An object is taken to be of use for so long. Longer, and each failure domain caches more by
-itself, where its first uses are slow."""
+"""Time over which the uses of a cached object are counted. If it were longer, each failure domain
+would cache more objects of its own, and the first use of each is slow."""
 
 
 class KeyReuse:
-    """The rate of requests for each affinity key of one route, at this instance.
+    """Estimates the request rate for each affinity key of one route at this instance.
 
-    Keys are taken to be equally popular: the rate of one is the rate of the route divided by the
-    number of keys. That is not the number of keys that came: an instance of many gets a few
-    requests a second, nearly all for keys that it has not seen before. Taking those for all that
-    there are, it would expect each of them again within the second, and a copy in every failure
-    domain would seem to pay. So the number is estimated from the repeats.
+    Keys are assumed to be equally popular: the rate for one is the rate of the route divided by the
+    number of keys. That number exceeds the distinct keys seen: one of many instances gets a few
+    requests a second, nearly all for keys that it has not seen before. If it took these for all
+    keys, it would expect each of them again within the second, and a copy in every failure domain
+    would seem to pay off. So the number of keys is estimated from the repeats.
     """
 
     def __init__(self) -> None:
@@ -42,7 +44,7 @@
         self._counted_at = -math.inf
 
     def record(self, key: str, now: float) -> None:
-        """A request came."""
+        """Record a request for a key."""
         self._rate = self._rate_at(now) + math.log(2) / HALF_LIFE_S
         self._rate_updated_at = now
         if now - self._window_began_at > KEY_COUNT_WINDOW_S:
@@ -59,7 +61,7 @@
             self._counted_at = now
 
     def expected_uses(self, entries: int, now: float) -> float:
-        """How often a cached object is used, by the callers of so many entries; at least 1."""
+        """Return how often the callers of ``entries`` instances use a cached object, at least 1."""
         return max(1.0, REUSE_HORIZON_S * entries * self._rate_at(now) / self._keys)
 
     def _rate_at(self, now: float) -> float:
@@ -67,10 +69,10 @@
 
 
 def estimate_key_count(requests: int, distinct: int) -> float:
-    """How many keys there are, if so many distinct ones came in so many requests.
+    """Estimate the number of keys from the number of distinct keys among some requests.
 
-    Of ``n`` requests for ``k`` equally popular keys, ``k * (1 - exp(-n / k))`` distinct ones are
-    expected; that is solved for ``k`` by Newton's method, with ``x = n / k`` as the unknown.
+    Among ``n`` requests for ``k`` equally popular keys, ``k * (1 - exp(-n / k))`` distinct ones are
+    expected. This is solved for ``k`` by Newton's method, with ``x = n / k`` as the unknown.
     """
     if distinct == 0:
         return 0.0
--- a/src/wagtailpoint/placement/placement.py
+++ b/src/wagtailpoint/placement/placement.py
@@ -1,4 +1,4 @@
-"""The choice of a backend server: affinity, load, distance and evidence, weighed as one loss."""
+"""Choice of a backend server: affinity, load, distance and failures, weighed as one loss."""
 
 from collections.abc import Sequence
 from typing import Final
@@ -28,14 +28,14 @@
 from wagtailpoint.placement.weigher import Weigher, cold_per_s
 
 MAX_SPILLOVER_UTILISATION: Final = 0.3
-"""Below this part of a service's slots in use a request goes on to another backend server when
-those that should have its key could not serve it. Its object is not cached there, and takes the
-time of three that are: under high load whoever went on would take the room of others, who would go
-on, too."""
+"""Maximum utilisation of a service's slots at which a request may spill over to another backend
+server if the preferred ones cannot serve it. Its object is not cached there and takes the time of
+three cached ones, so under high load it would displace other requests, which would spill over
+too."""
 
 
 class Placement:
-    """Chooses backend servers, and learns from what becomes of the requests."""
+    """Chooses backend servers, and updates its estimates from the results of requests."""
 
     def __init__(
         self,
@@ -47,15 +47,15 @@
         mix: RegionMix,
         entries: EntryCounts,
     ) -> None:
-        """Make it.
+        """Initialise the placement without estimates.
 
         Args:
             fleet: The backend servers.
-            distances: How far they are.
-            cold: Paces those that are cold.
-            cached_fraction: Which keys each failure domain holds.
-            mix: In which regions requests run.
-            entries: How many instances share the callers.
+            distances: The round-trip times to them.
+            cold: Limits the requests to cold backend servers.
+            cached_fraction: The fraction of keys to cache in each failure domain.
+            mix: Limits how fast requests shift between regions.
+            entries: The numbers of instances that share the callers.
         """
         self._fleet = fleet
         self._distances = distances
@@ -77,23 +77,24 @@
         )
 
     def load_of(self, entry: ServerEntry) -> ServerLoad:
-        """What is believed of a backend server since its start."""
+        """Return the estimated load and health of a backend server since its start."""
         return self._estimates.load_of(entry)
 
     def record_request(self, demand: Demand) -> None:
-        """A request of a caller came."""
+        """Record a request of a caller."""
         cost = self._estimates.cost_of(demand.route, demand.service)
         now = trio.current_time()
         self._cached_fraction.record_request(demand.service, cost.service_s(now))
         self._estimates.reuse_of(demand.route).record(demand.key, now)
 
     def choose(self, demand: Demand) -> Choice | NotPlaced:
-        """Choose where a request goes."""
+        """Choose the backend server for a request."""
         now = trio.current_time()
         order = self._ranking.order_candidates(
             demand.service, demand.key, demand.route.home_regions
         )
-        # When all are suspect the suspicion is of no use: the fault may be on our side.
+        # If all backend servers are suspect, the fault may be at this instance: ignore the
+        # suspicion.
         reachable = [
             option for option in order.ranked if not self._is_suspect(option.candidate.entry, now)
         ] or order.ranked
@@ -125,7 +126,7 @@
     def _preferred_servers(
         self, ranked: Sequence[Ranked], reachable: Sequence[Ranked], now: float
     ) -> set[Ranked]:
-        """Those to which a request should go if they have room."""
+        """Return the candidates that should serve a request if they have capacity."""
         wanted = set(select_preferred(ranked)).intersection(reachable)
         if not wanted:
             return set(select_preferred(reachable))
@@ -133,7 +134,7 @@
             option for option in wanted if self.load_of(option.candidate.entry).is_failing(now)
         }
         if failing:
-            # They stay in the choice: what they give is weighed against an object not cached.
+            # Failing servers stay candidates: they are weighed against servers without the object.
             wanted.update(
                 select_preferred([option for option in reachable if option not in failing])
             )
@@ -142,10 +143,10 @@
     def _choose_least_loss(
         self, choices: Sequence[Choice], remaining_s: float, now: float
     ) -> Choice:
-        """The best choice, in another region if too many requests would come to its own at once.
+        """Return the choice with the least loss whose region has not reached its shift limit.
 
-        A sound backend server with room must be there for that: what changes because others fail
-        or fill up may change at once.
+        The limit applies only if another region has a healthy backend server with capacity: shifts
+        that are due to failing or full backend servers may happen at once.
         """
         best = min(choices, key=expected_loss)
         if not self._mix.is_at_limit(best.region, now):
@@ -160,7 +161,7 @@
         return min(others, key=expected_loss, default=best)
 
     def record_send(self, demand: Demand, choice: Choice) -> InFlightRequest:
-        """A request is sent."""
+        """Record that a request is sent; return its record for ``record_end``."""
         entry = choice.entry
         now = trio.current_time()
         self._mix.record(choice.region, now)
@@ -170,18 +171,18 @@
         return self.load_of(entry).record_send(now, expected_stay_s)
 
     def record_end(self, entry: ServerEntry, request: InFlightRequest) -> None:
-        """A request that was sent is over."""
+        """Record that a request has ended, whatever its result."""
         self.load_of(entry).record_end(request)
 
     def record_answer(self, demand: Demand, choice: Choice, seen: Observation) -> None:
-        """Take note of an answer, before ``ended``."""
+        """Record an answer; must be called before ``record_end``."""
         now = trio.current_time()
         entry = choice.entry
         load = self.load_of(entry)
         round_trip_s = self._distances.round_trip_s(entry.failure_domain)
         if seen.report is not None:
             load.record_report(seen.report, now, round_trip_s)
-        # A full backend server that sheds does what it should; one with room is at fault.
+        # Shedding is correct for a full backend server, and a failure of one with free slots.
         full = seen.report is not None and seen.report.running >= seen.report.slots
         load.record_answer(now, failed=seen.failed or (seen.shed and not full))
         self._fleet.record_cold(entry.start, seen.cold_s)
@@ -201,7 +202,7 @@
         return self.load_of(entry).is_suspect(now, round_trip_s)
 
     def servers_to_probe(self) -> list[ServerEntry]:
-        """The backend servers that have rested for long enough after a failure to reach them."""
+        """Return the unreachable backend servers whose backoff has expired."""
         now = trio.current_time()
         return [
             entry
@@ -210,18 +211,18 @@
         ]
 
     def record_unreachable(self, entry: ServerEntry) -> float:
-        """A backend server could not be reached, or broke off; return how long it rests."""
+        """Record a backend server as unreachable; return its backoff in seconds."""
         return self.load_of(entry).record_unreachable(trio.current_time())
 
     def record_reachable(self, entry: ServerEntry) -> None:
-        """A connection to a backend server opened after it had rested."""
+        """Record that a connection to a backend server opened after its backoff."""
         self.load_of(entry).record_reachable()
 
     def record_broken_exchange(self, entry: ServerEntry) -> None:
-        """An exchange broke off; it may be the backend server's fault, or the connection's."""
+        """Record an exchange broken off by a fault of the backend server or the connection."""
         self.load_of(entry).record_answer(trio.current_time(), failed=True)
 
     def remove(self, start: ServerStart) -> None:
-        """Forget a backend server that is gone, or has started again."""
+        """Remove a backend server that is gone or has restarted."""
         self._estimates.remove(start)
         self._cold.remove(start)
--- a/src/wagtailpoint/placement/ranking.py
+++ b/src/wagtailpoint/placement/ranking.py
@@ -1,4 +1,4 @@
-"""The order of backend servers for an affinity key: the same on every instance."""
+"""Order of the backend servers for an affinity key, the same on every instance."""
 
 from collections.abc import Sequence
 from typing import Final, NamedTuple
@@ -7,12 +7,13 @@
 from wagtailpoint.rendezvous import rendezvous_score
 
 MAX_CACHED_ORDERS: Final = 8192
-"""Keys whose order is remembered; each takes about 1 KB."""
+"""Maximum number of keys with a cached order; each takes about 1 KB."""
 
 MAX_GLOBAL_CANDIDATES: Final = 6
 MAX_LOCAL_CANDIDATES: Final = 3
-"""How many are ordered for one key, of all and of the own failure domain and region: enough to go
-on to when the first ones were tried, are full or can't be reached."""
+"""Maximum numbers of candidates for one key: of all backend servers, and of this instance's failure
+domain and region each. They leave alternatives when the first ones were tried, are full or cannot
+be reached."""
 
 _FULL_SCALE: Final = float(1 << 64)
 
@@ -22,10 +23,10 @@
 
     Attributes:
         candidate: The backend server.
-        rank: Its place among all that may serve the request; 0 is the one that all instances know.
-        in_domain: It is in the own failure domain.
-        in_region: It is in the own region.
-        is_first_in_region: It is the first one there.
+        rank: The rank among all that may serve the request, from 0; the same on all instances.
+        in_domain: The backend server is in this instance's failure domain.
+        in_region: The backend server is in this instance's region.
+        is_first_in_region: The backend server has the lowest rank in this instance's region.
     """
 
     candidate: Candidate
@@ -39,8 +40,8 @@
     """The candidates for one affinity key.
 
     Attributes:
-        position: Of the key among all keys of the service, evenly spread from 0 to 1.
-        ranked: The candidates.
+        position: The position of the key among all keys of the service, uniform from 0 to 1.
+        ranked: The candidates by rank.
     """
 
     position: float
@@ -50,17 +51,17 @@
 class Ranking:
     """Orders the candidates of a service by rendezvous hashing.
 
-    When a backend server comes or goes, only the keys that it has or had get another first one;
-    all others keep theirs, with what it has in its cache of them.
+    When a backend server is added or removed, only the keys for which it ranks first are assigned
+    another first backend server; all other keys keep theirs and its cache.
     """
 
     def __init__(self, *, fleet: Fleet, own_domain: str, own_region: str) -> None:
-        """Make it.
+        """Initialise an empty cache of orders.
 
         Args:
             fleet: The backend servers.
-            own_domain: This instance's failure domain.
-            own_region: This instance's region.
+            own_domain: The failure domain of this instance.
+            own_region: The region of this instance.
         """
         self._fleet = fleet
         self._own_domain = own_domain
@@ -71,7 +72,7 @@
     def order_candidates(
         self, service: str, key: str, home_regions: frozenset[str] | None
     ) -> KeyOrder:
-        """The candidates for a key, in the regions ``home_regions`` only, unless that is None."""
+        """Return the candidates for a key, in ``home_regions`` only unless that is None."""
         if self._generation != self._fleet.generation or len(self._orders) > MAX_CACHED_ORDERS:
             self._orders = {}
             self._generation = self._fleet.generation
@@ -109,11 +110,11 @@
 
 
 def select_preferred(usable: Sequence[Ranked]) -> list[Ranked]:
-    """Those of the usable backend servers to which a request should go, the first of all in front.
+    """Return the usable candidates that a request should go to, the one with the lowest rank first.
 
-    The first of all, of the own failure domain and of the own region. With one more of all every
-    key was on most backend servers, their caches overflowed, and what an object that is not cached
-    takes three times as long for left no room for others.
+    They are the first of all, of this instance's failure domain and of its region. With a second
+    candidate of all, every key would be cached on most backend servers; their caches would
+    overflow, and uncached objects, which take three times as long, would fill the slots.
     """
     first = usable[:1]
     nearest = [candidate for candidate in usable if candidate.in_domain][:1]
--- a/src/wagtailpoint/placement/region_mix.py
+++ b/src/wagtailpoint/placement/region_mix.py
@@ -1,4 +1,4 @@
-"""In which regions this instance's requests run, and how fast that may change."""
+"""Limit on how fast this instance's requests may shift between regions."""
 
 import math
 from collections import Counter, deque
@@ -7,37 +7,38 @@
 from typing import Final
 
 WINDOW_S: Final = 2.0
-"""The bound of the operators compares any two seconds with the two before."""
+"""Length of a window. The operators' bound compares any two seconds with the two before."""
 
 BUCKETS: Final = 8
 BUCKET_S: Final = WINDOW_S / BUCKETS
 
 BASE_SHIFT_FRACTION: Final = 0.4
 MAX_SHIFT_FRACTION: Final = 0.7
-"""Of the bound: what an instance may shift, and the most that it may with an allowance for its own
-chance. However few its requests are, that stays below the bound: the chance of the instances evens
-out, but what moves all of them in one direction adds up. The rest is for requests that run in
-another window than the one they are counted in."""
+"""Fractions of the bound: the shift that an instance may cause, and its maximum including an
+allowance for random variation. The maximum is below the bound even for an instance with few
+requests: random variation cancels out between instances, but a shift of all in one direction adds
+up. The rest of the bound is left for requests that run in another window than the one they are
+counted in."""
 
 
 class RegionMix:
-    """Counts where requests were sent in the last four seconds, and says where no more may go.
+    """Counts the requests sent to each region in the last four seconds and limits their shift.
 
-    Caches and links of a region are sized for what usually comes. When the choice by load moved a
-    third of the requests of a region to another one within two seconds, that one's caches were cold
-    for all of them, and its own callers had to wait.
+    The caches and links of a region are sized for its usual requests. If the choice by load moves a
+    third of a region's requests to another region within two seconds, none of their objects is
+    cached there, and the callers of that region have to wait.
 
-    Each instance keeps the bound by itself, also one with few requests: hundreds of such instances
-    together can move a large part of a region.
+    Each instance keeps the bound by itself, even one with few requests: hundreds of such instances
+    together can move a large fraction of a region's requests.
     """
 
     def __init__(self, *, max_shift: Callable[[], float], random: Random) -> None:
-        """Make it empty.
+        """Initialise the counts as empty.
 
         Args:
-            max_shift: The part of a region's requests that may change the region in which they run
-                from one window to the next, 0 to 1.
-            random: For the rounding.
+            max_shift: Returns the fraction of a region's requests, 0 to 1, that may run in another
+                region than in the window before.
+            random: The source of randomness for rounding.
         """
         self._max_shift = max_shift
         self._random = random
@@ -48,13 +49,13 @@
         self._previous: Counter[str] = Counter()
 
     def record(self, region: str, now: float) -> None:
-        """A request is sent to a backend server of a region."""
+        """Record a request that is sent to a backend server of a region."""
         self._advance(now)
         self._buckets[-1][region] += 1
         self._recent[region] += 1
 
     def is_at_limit(self, region: str, now: float) -> bool:
-        """Whether one more request there would shift too many from other regions."""
+        """Return whether one more request to a region would exceed the shift limit."""
         self._advance(now)
         recent, before = self._recent.total(), self._previous.total()
         if not before:
@@ -63,7 +64,8 @@
         chance = math.sqrt(share * (1 - share) * (1 / (recent + 1) + 1 / before))
         bound = self._max_shift()
         shift = min(MAX_SHIFT_FRACTION * bound, BASE_SHIFT_FRACTION * bound + chance)
-        # Rounded to whole requests by lot: a region where hardly any run would never get one more.
+        # Rounded to whole requests at random: always rounding down would never let a region with
+        # hardly any requests get one more.
         return self._recent[region] + 1 > (share + shift) * (recent + 1) + self._rounding_offset
 
     def _advance(self, now: float) -> None:
@@ -81,9 +83,10 @@
         self._sum_windows()
 
     def _sum_windows(self) -> None:
-        """Add up both windows; while less than two of them have passed, both halves of that.
+        """Sum up both windows, or both halves of the time so far if it is shorter than these.
 
-        A window before of a few requests would have their chance decide for all that come.
+        If the previous window held only a few requests, their random distribution would decide for
+        all that follow.
         """
         self._recent, self._previous = Counter(), Counter()
         half = len(self._buckets) // 2
--- a/src/wagtailpoint/placement/server_load.py
+++ b/src/wagtailpoint/placement/server_load.py
@@ -1,58 +1,59 @@
-"""What one instance believes of the load and the health of one backend server."""
+"""Estimated load and health of one backend server, as seen by one instance."""
 
 import math
 from typing import Final, NamedTuple
 
 MEAN_WEIGHT: Final = 0.15
-"""The weight of a new report against the mean of those before."""
+"""Weight of a new load report in the mean."""
 
 REPORT_HALF_LIFE_S: Final = 0.15
-"""How long a report says more than the mean: about two service times, then others have come."""
+"""Half-life of a load report against the mean: after about two service times other requests have
+come."""
 
 MEAN_HALF_LIFE_S: Final = 3.0
-"""Without any report the belief in the others' load fades: a backend server that was full once must
-be tried again."""
+"""Half-life of the other instances' load without a new report: a backend server that was full must
+be tried again at some time."""
 
 LATENCY_WEIGHT: Final = 0.15
 ERROR_WEIGHT: Final = 0.2
-"""Weights of one observation: five errors in a row bring the share to two thirds."""
+"""Weights of one sample. Five errors in a row bring the share of errors to two thirds."""
 
 MAX_SLOWNESS: Final = 10.0
 
 HEALTHY_SLOWNESS: Final = 2.0
 HEALTHY_ERROR_SHARE: Final = 0.1
-"""Below these a backend server is as good as others: requests vary by a fifth, and answers that
-meet a full cache take three times as long but are expected to."""
+"""Limits below which a backend server is as good as others. Service times vary by a fifth; the
+factor of three for uncached objects does not count, as it is part of the expected latency."""
 
 FAILING_SLOWNESS: Final = 3.0
 FAILING_ERROR_SHARE: Final = 0.3
-"""Above these a backend server is worse than another where the object is not cached, which takes
-three times as long. A few answers that were not cached, one after the other, are not that bad."""
+"""Limits from which a backend server is worse than one where the object is not cached, which takes
+three times as long. A few uncached answers in a row do not reach them."""
 
 EVIDENCE_HALF_LIFE_S: Final = 2.0
-"""Slowness and errors are forgotten without new evidence: a backend server that is avoided gives
-none, and would be avoided for ever after it has recovered."""
+"""Half-life of slowness and errors without new samples. A backend server that is avoided gives no
+samples, and would otherwise be avoided for ever after it has recovered."""
 
 MIN_BACKOFF_S: Final = 0.5
 MAX_BACKOFF_S: Final = 4.0
-"""After a failure to reach it a backend server rests, doubling; then a connection is opened to it
-before it gets requests again."""
+"""Bounds of the exponential backoff of an unreachable backend server. After it a connection is
+opened before the server gets requests again."""
 
 SILENCE_FACTOR: Final = 3.0
 SILENCE_SLACK_S: Final = 0.1
-"""A backend server that has answered nothing since a request was sent to it is taken for dead when
-that stays so many times as long as expected, or as others did lately, and the slack for pauses of
-either machine. One that has lost power gives no other sign: requests to it wait for their
-deadlines."""
+"""A backend server that has answered nothing since a request was sent counts as dead after this
+multiple of the request's expected stay, or of the recent typical stay if that is longer, plus a
+slack for pauses of either machine. A server that has lost power gives no other sign, and requests
+to it wait until their deadlines."""
 
 
 class LoadReport(NamedTuple):
-    """What a backend server said of itself along with a response.
+    """The load report that a backend server sends with a response.
 
     Attributes:
-        running: Requests that it runs.
-        waiting: Requests that wait in its queue.
-        slots: Requests that it can run at the same time.
+        running: The number of requests that it runs.
+        waiting: The number of requests in its queue.
+        slots: The number of requests that it can run at the same time.
     """
 
     running: int
@@ -61,7 +62,7 @@
 
 
 def parse_load(value: bytes | None) -> LoadReport | None:
-    """Read ``RUNNING,WAITING,SLOTS``; None if it has another form."""
+    """Parse a load report ``RUNNING,WAITING,SLOTS``; return None if it has another form."""
     if value is None:
         return None
     parts = value.split(b",")
@@ -71,11 +72,11 @@
 
 
 class InFlightRequest(NamedTuple):
-    """A request of this instance to the backend server.
+    """A request of this instance that the backend server has not answered yet.
 
     Attributes:
-        sent_at: When it was sent.
-        expected_stay_s: How long it is expected to wait and be worked on there, in seconds.
+        sent_at: The time when it was sent.
+        expected_stay_s: The expected queueing and service time there, in seconds.
     """
 
     sent_at: float
@@ -83,12 +84,12 @@
 
 
 class ServerLoad:
-    """The load and health of one backend server.
+    """Estimates the load and health of one backend server.
 
-    Of the requests under way some are on the way there, and some of their answers on the way back.
-    A server 70 ms away that takes 70 ms for a request has half of them. Whoever counts all of them
-    takes a far server for full, the more so the more it sends there, and a report's requests, which
-    are those of half a round trip ago, for others'.
+    Some of the requests in flight, or their answers, are in transit. A server that is 70 ms of
+    round trip away and takes 70 ms for a request holds half of them. If all of them were counted, a
+    distant server would seem full, the more so the more requests are sent there. The requests of a
+    load report, which is half a round trip old, would be counted as those of other instances.
     """
 
     def __init__(self) -> None:
@@ -106,16 +107,16 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests of this instance at the backend server."""
+        """The number of requests of this instance that are in flight."""
         return len(self._in_flight)
 
     @property
     def heard_at(self) -> float:
-        """When it last answered anything."""
+        """The time of the last answer."""
         return self._heard_at
 
     def occupancy(self, now: float, round_trip_s: float) -> float:
-        """Requests that one sent now will meet there: ours, and an estimate of the others'."""
+        """Return the estimated number of requests that a request sent at ``now`` finds there."""
         age_s = now - self._reported_at
         mean = self._others_mean * _decay_factor(age_s, MEAN_HALF_LIFE_S)
         others = mean + (self._others - mean) * _decay_factor(age_s, REPORT_HALF_LIFE_S)
@@ -124,31 +125,31 @@
         )
 
     def slowness(self, now: float) -> float:
-        """How many times as long as expected it takes, lately; 1 is as expected."""
+        """Return the recent ratio of actual to expected latency, at least 1."""
         remaining = _decay_factor(now - self._evidence_at, EVIDENCE_HALF_LIFE_S)
         return max(1.0, 1.0 + (self._slowness - 1.0) * remaining)
 
     def error_share(self, now: float) -> float:
-        """The part of its responses that were failures of its own, lately."""
+        """Return the recent fraction of responses that were failures of the server itself."""
         return self._error_share * _decay_factor(now - self._evidence_at, EVIDENCE_HALF_LIFE_S)
 
     def report_age_s(self, now: float) -> float:
-        """How old the last report is, in seconds."""
+        """Return the age of the newest load report, in seconds."""
         return now - self._reported_at
 
     def is_failing(self, now: float) -> bool:
-        """Whether it is so slow or fails so often that others should be considered."""
+        """Return whether it is so slow or fails so often that others should be considered."""
         return (
             self.slowness(now) >= FAILING_SLOWNESS or self.error_share(now) >= FAILING_ERROR_SHARE
         )
 
     @property
     def resting_until(self) -> float | None:
-        """When it may be tried again after a failure to reach it; None if there was none."""
+        """The end of the backoff of an unreachable backend server; None if it is reachable."""
         return self._resting_until
 
     def is_suspect(self, now: float, round_trip_s: float) -> bool:
-        """Whether it could not be reached lately, or answers nothing."""
+        """Return whether the backend server is unreachable or silent."""
         return self._resting_until is not None or self._is_silent(now, round_trip_s)
 
     def _is_silent(self, now: float, round_trip_s: float) -> bool:
@@ -162,26 +163,27 @@
         )
 
     def is_healthy(self, now: float) -> bool:
-        """Whether it neither fails nor is slow."""
+        """Return whether the backend server is neither failing nor slow."""
         return self.slowness(now) < HEALTHY_SLOWNESS and self.error_share(now) < HEALTHY_ERROR_SHARE
 
     def record_send(self, now: float, expected_stay_s: float) -> InFlightRequest:
-        """A request is sent to it that is expected to stay there for so many seconds."""
+        """Record a request that is sent and expected to stay for ``expected_stay_s`` seconds."""
         request = InFlightRequest(now, expected_stay_s)
         self._in_flight.append(request)
         return request
 
     def record_end(self, request: InFlightRequest) -> None:
-        """A request to it is over, in whatever way."""
+        """Record that a request has ended, whatever its result."""
         self._in_flight.remove(request)
 
     def record_report(self, report: LoadReport, now: float, round_trip_s: float) -> None:
-        """Take in a report that came with the response to one of our requests.
+        """Record a load report that came with a response.
 
         Args:
-            report: The report; the request that it came with is counted in it.
-            now: When it came. That request is still counted as under way.
-            round_trip_s: The way there and back: what was sent later was not there yet.
+            report: The load report, which counts the request that is answered.
+            now: The time when it arrived. The answered request still counts as in flight.
+            round_trip_s: The round-trip time in seconds; requests sent less than this before
+                ``now`` are not counted in the report.
         """
         counted_requests = sum(request.sent_at <= now - round_trip_s for request in self._in_flight)
         self._others = max(0, report.running + report.waiting - max(1, counted_requests))
@@ -190,7 +192,7 @@
         self._reported_at = now
 
     def record_answer(self, now: float, *, failed: bool) -> None:
-        """It answered; ``failed`` if with a failure of its own."""
+        """Record an answer; ``failed`` if it is a failure of the backend server itself."""
         self._heard_at = now
         self._failures = 0
         self._resting_until = None
@@ -198,7 +200,7 @@
         self._error_share += ERROR_WEIGHT * ((1.0 if failed else 0.0) - self._error_share)
 
     def record_latency(self, took_s: float, expected_s: float, now: float) -> None:
-        """An answer took so many seconds there, queue included; so many were expected."""
+        """Record the actual and the expected time at the backend server, queueing included."""
         self._decay_evidence(now)
         ratio = took_s / expected_s
         if self._typical_s is None:
@@ -213,7 +215,7 @@
         self._evidence_at = now
 
     def record_unreachable(self, now: float) -> float:
-        """It could not be reached, or broke off; return for how long it rests, in seconds."""
+        """Record that it could not be reached or broke off; return its backoff in seconds."""
         if self._resting_until is None or now >= self._resting_until:
             self._failures += 1
         rest_s: float = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2.0 ** (self._failures - 1))
@@ -221,20 +223,20 @@
         return rest_s
 
     def record_reachable(self) -> None:
-        """A connection to it opened: requests may be sent, and will show whether it answers."""
+        """Record that a connection opened, which ends the backoff but not its doubling."""
         self._resting_until = None
 
 
 def _is_at_server(request: InFlightRequest, now: float, round_trip_s: float) -> bool:
-    """Whether a request that is sent now finds another one still there.
+    """Return whether a request sent at ``now`` finds ``request`` still at the backend server.
 
-    If it was there for as long as it is expected to stay, its answer is on the way back; if that
-    has not come in time, it stays longer than expected.
+    Once its expected stay is over, its answer is assumed to be in transit. If the answer has not
+    arrived one round trip later, the request takes longer than expected and is still there.
     """
     age_s = now - request.sent_at
     return not request.expected_stay_s < age_s <= request.expected_stay_s + round_trip_s
 
 
 def _decay_factor(age_s: float, half_life_s: float) -> float:
-    """What is left of a belief after so many seconds, 1 to 0."""
+    """Return the weight, 1 to 0, of an estimate of a given age."""
     return math.exp(-math.log(2) * age_s / half_life_s)
--- a/src/wagtailpoint/placement/utilisation.py
+++ b/src/wagtailpoint/placement/utilisation.py
@@ -1,4 +1,4 @@
-"""Which part of a service's slots is in use."""
+"""Estimated utilisation of a service's slots."""
 
 from typing import Final
 
@@ -7,17 +7,18 @@
 from wagtailpoint.placement.estimates import Estimates
 
 UPDATE_INTERVAL_S: Final = 0.1
+"""Time for which an estimate is reused."""
 
 
 class Utilisation:
-    """The part of all slots of a service that is in use, as far as this instance knows."""
+    """Estimates the fraction of a service's slots that is in use, as known to this instance."""
 
     def __init__(self, *, fleet: Fleet, distances: Distances, estimates: Estimates) -> None:
-        """Make it.
+        """Initialise the estimates as unknown.
 
         Args:
             fleet: The backend servers.
-            distances: How far they are.
+            distances: The round-trip times to them.
             estimates: Their load.
         """
         self._fleet = fleet
@@ -26,7 +27,7 @@
         self._cached: dict[str, tuple[float, float]] = {}
 
     def estimate(self, service: str, now: float) -> float:
-        """From 0 to 1; worked out now and then, for all requests."""
+        """Return the utilisation of a service, 0 to 1, computed once in ``UPDATE_INTERVAL_S``."""
         known = self._cached.get(service)
         if known is not None and now - known[0] < UPDATE_INTERVAL_S:
             return known[1]
--- a/src/wagtailpoint/placement/weigher.py
+++ b/src/wagtailpoint/placement/weigher.py
@@ -1,4 +1,4 @@
-"""What one backend server has to offer a request: a choice with its loss, or no room."""
+"""Evaluation of one backend server for a request."""
 
 from typing import Final
 
@@ -17,25 +17,29 @@
 AGREED_CACHED_CHANCE: Final = 0.95
 DOMAIN_CACHED_CHANCE: Final = 0.3
 OTHER_CACHED_CHANCE: Final = 0.05
-"""The chance that an object is cached: where this instance had it answered lately, where all
-instances send it first, where the others of this failure domain may have, and elsewhere."""
+"""Probabilities that an object is cached: at a backend server that has answered this instance for
+the key lately, at the one that all instances send the key to first, at others of this instance's
+failure domain, where its other instances may have sent it, and elsewhere."""
 
 URGENT_WAIT_FACTOR: Final = 1.2
 NORMAL_WAIT_FACTOR: Final = 1.0
-"""How long a request may be expected to wait at a backend server, for the urgent and the others: so
-many times what its objective leaves beside the service time. Short requests may so stand behind
-many, long ones behind few, and whoever is let in is answered in time or little later; the urgent
-find room behind the others."""
+"""Maximum expected wait at a backend server, as a multiple of the objective less the service time,
+for urgent and other requests. Short requests may so wait behind many and long ones behind few, and
+an admitted request is answered in time or little later. The higher factor lets urgent requests
+queue behind others."""
 
 MIN_WAIT_FRACTION: Final = 0.5
-"""Of the service time: where the objective leaves less, a request may still be next in line."""
+"""Minimum of the maximum wait, as a fraction of the service time: where the objective leaves less,
+a request may still be the next in the queue."""
 
 MAX_URGENT_PRIORITY: Final = 1
+"""Requests up to this priority are urgent; 0 is the most urgent."""
+
 MIN_OBJECTIVE_S: Final = 0.01
 
 
 class Weigher:
-    """Weighs backend servers by all that is known of them."""
+    """Computes the expected loss of a request at a backend server."""
 
     def __init__(
         self,
@@ -47,15 +51,15 @@
         estimates: Estimates,
         entries: EntryCounts,
     ) -> None:
-        """Make it.
+        """Initialise the weigher.
 
         Args:
             fleet: The backend servers.
-            distances: How far they are.
-            cold: Paces those that are cold.
-            cached_fraction: Which keys each failure domain holds.
-            estimates: What this instance knows of backend servers and routes.
-            entries: How many instances share the callers.
+            distances: The round-trip times to them.
+            cold: Limits the requests to cold backend servers.
+            cached_fraction: The fraction of keys to cache in each failure domain.
+            estimates: This instance's estimates of backend servers and routes.
+            entries: The numbers of instances that share the callers.
         """
         self._fleet = fleet
         self._distances = distances
@@ -67,14 +71,14 @@
     def weigh(
         self, demand: Demand, ranked: Ranked, position: float, utilisation: float, now: float
     ) -> Choice | Declined:
-        """What a backend server offers.
+        """Evaluate a backend server for a request.
 
         Args:
-            demand: What the request needs.
+            demand: The requirements of the request.
             ranked: The backend server.
-            position: Of the request's key among all keys of the service, 0 to 1.
-            utilisation: Of the service's slots, 0 to 1.
-            now: The time.
+            position: The position of the request's key among all keys of the service, 0 to 1.
+            utilisation: The utilisation of the service's slots, 0 to 1.
+            now: The current time in seconds.
         """
         entry, region = ranked.candidate
         load = self._estimates.load_of(entry)
@@ -119,7 +123,7 @@
         return DOMAIN_CACHED_CHANCE if ranked.in_domain else OTHER_CACHED_CHANCE
 
     def _is_agreed(self, demand: Demand, ranked: Ranked, position: float) -> bool:
-        """Whether all instances of the region send the key there first."""
+        """Return whether all instances of this region send the key there first."""
         if position < self._cached_fraction.region_fraction(demand.service, self._distances.region):
             return ranked.is_first_in_region
         return ranked.rank == 0
@@ -127,7 +131,7 @@
     def _expected_uses(
         self, demand: Demand, ranked: Ranked, position: float, agreed: bool, now: float
     ) -> float:
-        """How often the object would be used if it got cached there."""
+        """Return how often the object would be used there once it is cached."""
         reuse = self._estimates.reuse_of(demand.route)
         if agreed:
             entries = self._entries.in_region if ranked.in_region else self._entries.everywhere
@@ -139,12 +143,12 @@
 
 
 def cold_per_s(policy: ServicePolicy | None) -> float:
-    """Requests a second that a cold backend server of a service bears."""
+    """Return the requests a second that a cold backend server of a service can serve."""
     return policy.cold_per_s if policy is not None else 0.0
 
 
 def _max_wait_s(route: HostRoute, service_s: float) -> float:
-    """How long a request of a route may wait at a backend server."""
+    """Return the maximum wait of a route's request at a backend server, in seconds."""
     is_urgent = route.priority <= MAX_URGENT_PRIORITY
     factor = URGENT_WAIT_FACTOR if is_urgent else NORMAL_WAIT_FACTOR
     return max(MIN_WAIT_FRACTION * service_s, factor * (route.objective_s - service_s))
--- a/tests/cover/test_agreed_place.py
+++ b/tests/cover/test_agreed_place.py
@@ -1,4 +1,4 @@
-"""One place in a region for each object, agreed by all, and what misses must not teach."""
+"""One backend server of a region for each object, on which all instances agree; cache misses."""
 
 import unittest
 from collections import defaultdict
@@ -28,7 +28,7 @@
 
 
 class FewRequestsForEachObjectTest(unittest.TestCase):
-    """Many backend servers that remember few objects; each object is asked for now and then."""
+    """Many backend servers with small caches, and few requests for each object."""
 
     def setUp(self) -> None:
         logger.disable("wagtailpoint")
@@ -46,9 +46,9 @@
         )
 
     def play(self, *, seconds: float, rate: float) -> None:
-        """Requests for all keys alike, by three instances of the region ``a``.
+        """Send uniform requests for all keys by three instances of the region ``a``.
 
-        They know the load by then: as many seconds with other keys come before.
+        Requests with other keys come first for the same time, so that the load is known.
         """
 
         async def run() -> None:
@@ -81,12 +81,12 @@
         placement.record_end(choice.entry, underway)
 
     def test_each_object_is_fetched_once_in_the_region(self) -> None:
-        """Symptom: a fifth of the answers come late although no backend server is busy.
+        """Guards against a fifth of the answers being late although no backend server is busy.
 
-        Sequence: an object is fetched at the first backend server of all, in whatever region; then
-        at one of the own failure domain, and by other instances at one of the region. Cause: each
-        of them was weighed by what one instance had learned, and none was agreed on but one far
-        away. With few requests for each object every further place is a further late answer.
+        An object is fetched at the first backend server of all, in any region, then at one of the
+        instance's failure domain, and by other instances at one of the region. That happens if each
+        instance weighs the servers by its own estimates and all agree only on a distant one. With
+        few requests for each object, each further server means a further late answer.
         """
         self.add_servers(near=20, far=40)
         self.play(seconds=20.0, rate=30.0)
@@ -95,10 +95,11 @@
         near = [at for found in self.places.values() for at in found if at.startswith("i-a")]
         self.assertGreater(len(near), 0.9 * sum(met))
 
-    def test_region_with_few_servers_holds_a_part(self) -> None:
-        """Symptom: callers of the smallest region wait in its queues, beside idle regions.
+    def test_region_with_few_servers_caches_a_fraction_of_the_keys(self) -> None:
+        """Guards against queues in the smallest region while other regions are idle.
 
-        The keys that its slots can't serve have one agreed place elsewhere, and keep it.
+        The keys that its slots cannot serve must have one agreed backend server elsewhere, and keep
+        it.
         """
         self.add_servers(near=2, far=40)
         self.play(seconds=20.0, rate=90.0)
@@ -109,21 +110,21 @@
 
 
 class MissesTest(unittest.TestCase):
-    """Answers of objects that were not cached after all."""
+    """Answers of objects that were expected to be cached but were not."""
 
-    def test_misses_do_not_make_what_is_cached_look_slow(self) -> None:
-        """Symptom: requests go to backend servers that don't have their objects.
+    def test_misses_do_not_raise_the_service_time_of_cached_objects(self) -> None:
+        """Guards against requests to backend servers that don't cache their objects.
 
-        Sequence: in the first seconds two of three objects are fetched anew, also where they were
-        believed to be. Cause: the time of those answers was learned as that of cached ones, so
-        that a backend server with the object seemed no better than one without.
+        In the first seconds two of three objects are fetched, even where they were believed to be
+        cached. If the time of these answers counts as that of cached objects, a backend server with
+        the object seems no better than one without.
         """
         cost = RouteCost(objective_s=0.3)
         for number in range(60):
             cost.record(CACHED_S if number % 3 == 0 else UNCACHED_S, 400, number * 0.05)
         self.assertLess(cost.service_s(3.0), 1.5 * CACHED_S)
 
-    def test_belief_that_is_too_low_is_corrected(self) -> None:
+    def test_estimate_that_is_too_low_is_corrected(self) -> None:
         cost = RouteCost(objective_s=0.3)
         for number in range(4 * MAX_UNCACHED_RUN):
             cost.record(1.0, 400, number * 0.05)
--- a/tests/cover/test_learned.py
+++ b/tests/cover/test_learned.py
@@ -1,4 +1,4 @@
-"""What an instance learns of backend servers, routes, keys and distances."""
+"""Estimates of an instance: load of backend servers, cost of routes, reuse of keys, distances."""
 
 import unittest
 from random import Random
@@ -15,7 +15,7 @@
 
 
 class ServerLoadTest(unittest.TestCase):
-    def test_report_counts_what_others_have_there(self) -> None:
+    def test_report_counts_requests_of_other_instances(self) -> None:
         load = ServerLoad()
         underway = load.record_send(10.0, 0.5)
         load.record_report(LoadReport(3, 2, 3), 10.0, 0.0)
@@ -24,17 +24,17 @@
         self.assertAlmostEqual(load.occupancy(10.0, 0.0), 4.0)
         self.assertLess(load.occupancy(11.0, 0.0), 1.5)
 
-    def test_requests_on_the_way_are_not_at_the_server(self) -> None:
-        """Symptom: an instance refuses a third of its requests while other ones refuse few.
+    def test_requests_in_transit_are_not_at_the_server(self) -> None:
+        """Guards against an instance that refuses a third of its requests while others refuse few.
 
-        Sequence: it sends more than the others, most of it to regions 70 ms away. Cause: it counted
-        all its requests under way as being at the backend server, also those whose answers were on
-        the way back, so that who sends most and from far sees all servers full.
+        If all requests in flight are counted as being at the backend server, also those whose
+        answers are in transit, an instance that sends many requests to regions 70 ms away sees all
+        servers as full.
         """
         load = ServerLoad()
         for sent_at in (10.00, 10.02, 10.04, 10.06, 10.08, 10.10):
             load.record_send(sent_at, 0.05)
-        # Those sent until 10.04 have been worked on; their answers come until 10.16.
+        # The requests sent until 10.04 have been served; their answers arrive until 10.16.
         self.assertAlmostEqual(load.occupancy(10.11, 0.07), 3.0)
         self.assertAlmostEqual(load.occupancy(10.11, 0.0), 6.0)
 
@@ -44,20 +44,21 @@
         self.assertAlmostEqual(load.occupancy(10.1, 0.07), 0.0)
         self.assertAlmostEqual(load.occupancy(10.2, 0.07), 1.0)
 
-    def test_report_was_written_before_the_latest_requests_came(self) -> None:
+    def test_report_does_not_count_requests_sent_within_the_last_round_trip(self) -> None:
         load = ServerLoad()
         for sent_at in (10.00, 10.04, 10.09):
             load.record_send(sent_at, 0.05)
         load.record_report(LoadReport(3, 1, 3), 10.125, 0.08)
-        # Two of the four were ours, and two others'; of ours only the latest is still there.
+        # Of the four reported requests two are this instance's; of all it sent, only the latest is
+        # still there.
         self.assertAlmostEqual(load.occupancy(10.125, 0.08), 2.0 + 1.0)
 
-    def test_reports_in_other_forms_are_ignored(self) -> None:
+    def test_malformed_reports_are_ignored(self) -> None:
         self.assertEqual(parse_load(b"1,0,3"), LoadReport(1, 0, 3))
         for text in (None, b"", b"1,2", b"a,b,c", b"1,2,3,4"):
             self.assertIsNone(parse_load(text))
 
-    def test_suspicion_doubles_and_ends_with_an_answer(self) -> None:
+    def test_backoff_doubles_and_ends_with_an_answer(self) -> None:
         load = ServerLoad()
         rests = [load.record_unreachable(now) for now in (0.0, 1.0, 3.0, 8.0, 20.0)]
         self.assertEqual(rests, [0.5, 1.0, 2.0, 4.0, 4.0])
@@ -65,12 +66,12 @@
         self.assertFalse(load.is_suspect(21.0, 0.0))
         self.assertEqual(load.record_unreachable(22.0), 0.5)
 
-    def test_server_that_answers_nothing_gets_no_more_requests(self) -> None:
-        """Symptom: a tenth of all requests wait for their deadlines.
+    def test_silent_server_is_suspect(self) -> None:
+        """Guards against a tenth of all requests waiting until their deadlines.
 
-        Sequence: backend servers lose power; connections to them stay open, and requests go there
-        on them. Cause: they were taken for dead only when the first of those requests had waited
-        until its deadline, a second later.
+        Connections to backend servers that have lost power stay open, and requests are sent on
+        them. If a server counts as dead only when the first of these has reached its deadline, all
+        requests of a second wait in vain.
         """
         load = ServerLoad()
         load.record_answer(9.0, failed=False)
@@ -81,11 +82,11 @@
         load.record_answer(10.6, failed=False)
         self.assertFalse(load.is_suspect(10.7, 0.07))
 
-    def test_server_with_a_long_queue_is_not_silent(self) -> None:
-        """Symptom: under high load requests go to backend servers where nothing is cached.
+    def test_server_with_a_long_queue_is_not_suspect(self) -> None:
+        """Guards against requests under high load to servers that cache none of the objects.
 
-        Sequence: queues grow longer than was expected, and an instance hears of a backend server
-        only now and then. Cause: it was taken for dead.
+        Queues grow longer than expected, and an instance gets few answers from each backend server.
+        If it takes such a server for dead, it sends the requests elsewhere.
         """
         load = ServerLoad()
         for number in range(30):
@@ -95,8 +96,8 @@
         self.assertFalse(load.is_suspect(10.9, 0.07))
         self.assertTrue(load.is_suspect(11.5, 0.07))
 
-    def test_trial_connection_does_not_end_the_doubling(self) -> None:
-        """A process that hangs accepts connections, and answers nothing on them."""
+    def test_opened_connection_does_not_reset_the_backoff(self) -> None:
+        """Guards against a short backoff for a process that hangs but accepts connections."""
         load = ServerLoad()
         self.assertEqual(load.record_unreachable(10.0), 0.5)
         load.record_reachable()
@@ -105,7 +106,7 @@
 
 
 class KeyReuseTest(unittest.TestCase):
-    def test_uses_follow_the_rate_and_the_number_of_keys(self) -> None:
+    def test_expected_uses_follow_the_rate_and_the_number_of_keys(self) -> None:
         reuse = KeyReuse()
         self.assertEqual(reuse.expected_uses(1, 0.0), 1.0)
         for number in range(400):
@@ -113,22 +114,22 @@
         expected_uses = reuse.expected_uses(1, 40.0)
         self.assertLess(
             abs(expected_uses - REUSE_HORIZON_S), 0.1 * REUSE_HORIZON_S
-        )  # 10 a second of 10 keys.
+        )  # 10 requests a second for 10 keys.
         self.assertAlmostEqual(reuse.expected_uses(2, 40.0), 2 * expected_uses)
 
     def test_few_requests_for_many_keys(self) -> None:
-        """Symptom: in a large deployment, half of the first requests meet an uncached object.
+        """Guards against uncached objects for half of the first requests in a large deployment.
 
-        Sequence: an instance of many gets 8 requests a second, for any of 270 keys; none of the
-        first ten keys comes twice. Cause: it took them for all keys that there are, and expected
-        each of them again within the second.
+        One of many instances gets 8 requests a second for any of 270 keys; none of the first ten
+        keys comes twice. If it takes the keys seen for all keys, it expects each of them again
+        within the second.
         """
         reuse, random = KeyReuse(), Random(1)
         for number in range(24):
             reuse.record(str(random.randrange(270)), number / 8)
             self.assertLess(reuse.expected_uses(1, number / 8), 1.5)
 
-    def test_number_of_keys_by_the_repeats(self) -> None:
+    def test_key_count_is_estimated_from_the_repeats(self) -> None:
         random = Random(2)
         for keys, requests in ((10, 100), (270, 100), (270, 1000), (1000, 300)):
             seen = {random.randrange(keys) for _ in range(requests)}
@@ -139,7 +140,7 @@
 
 
 class DistancesTest(unittest.TestCase):
-    def test_assumed_until_measured(self) -> None:
+    def test_initial_round_trip_until_measured(self) -> None:
         distances = make_distances()
         assumed = [distances.round_trip_s(domain) for domain in DOMAINS]
         self.assertEqual(assumed, [0.001, 0.003, 0.1])
@@ -147,18 +148,18 @@
         self.assertAlmostEqual(distances.round_trip_s("b-1"), 0.04)
         self.assertEqual(distances.round_trip_s("a-2"), 0.003)
 
-    def test_delays_are_not_taken_for_distance(self) -> None:
-        """Symptom: a near region gets no requests any more.
+    def test_retransmission_delays_do_not_count_as_distance(self) -> None:
+        """Guards against a near region that gets no requests.
 
-        Sequence: some packets are lost and sent again after a second, so a few connections take
-        that long to open. Cause: the mean of such times is several times the round trip.
+        Some packets are lost and retransmitted after a second, so a few connections take that long
+        to open. The mean of such times is several times the round trip.
         """
         distances = make_distances()
         for number in range(200):
             distances.record_connect_time("b-1", 1.04 if number % 10 == 0 else 0.04)
         self.assertLess(distances.round_trip_s("b-1"), 0.05)
 
-    def test_a_longer_way_is_learned_in_the_end(self) -> None:
+    def test_longer_round_trip_is_learned_slowly(self) -> None:
         distances = make_distances()
         distances.record_connect_time("b-1", 0.02)
         for _ in range(150):
@@ -167,25 +168,25 @@
 
 
 class RouteCostTest(unittest.TestCase):
-    def test_learned_and_forgotten(self) -> None:
+    def test_estimate_is_learned_and_returns_to_the_initial_value(self) -> None:
         cost = RouteCost(objective_s=0.3)
         for number in range(100):
             cost.record(0.3, 1000, number / 10)
         self.assertAlmostEqual(cost.service_s(10.0), 0.3, delta=0.02)
         self.assertAlmostEqual(cost.service_s(30.0), 0.3 * INITIAL_SERVICE_FRACTION, delta=0.01)
 
-    def test_a_route_with_a_late_objective_is_taken_to_work_for_long(self) -> None:
-        """Symptom: for eight seconds half of all requests meet an object that is not cached.
+    def test_initial_service_time_follows_the_objective(self) -> None:
+        """Guards against uncached objects for half of the requests in the first eight seconds.
 
-        Sequence: 77 instances start, each with three requests a second of a route; an object that
-        is not cached takes 0.86 s there, and 0.5 s are allowed. Cause: before enough answers came,
-        each instance assumed 0.1 s for a cached object, so 0.33 s for another, which is in time
-        anywhere; the requests of one key were spread over all failure domains.
+        77 instances start, each with three requests a second of a route whose uncached objects take
+        0.86 s with an objective of 0.5 s. With an initial estimate of 0.1 s for a cached object, so
+        0.33 s for an uncached one, every backend server seems to be in time, and the requests for
+        one key are spread over all failure domains.
         """
         cost = RouteCost(objective_s=0.5)
         self.assertGreater(UNCACHED_FACTOR * cost.service_s(0.0), 0.5)
 
-    def test_one_wild_sample_changes_little(self) -> None:
+    def test_outlier_changes_the_estimate_little(self) -> None:
         cost = RouteCost(objective_s=0.3)
         for number in range(100):
             cost.record(0.1, 1000, number / 10)
--- a/tests/cover/test_placement.py
+++ b/tests/cover/test_placement.py
@@ -1,4 +1,4 @@
-"""The choice of a backend server: affinity, load, homes, evidence, scarcity."""
+"""Choice of a backend server: affinity, load, home regions, failures, scarce slots."""
 
 import unittest
 from collections import Counter
@@ -46,7 +46,7 @@
         )
         return demand._replace(**changes)
 
-    def twelve(self) -> Placement:
+    def make_placement_with_twelve_servers(self) -> Placement:
         self.fleet.update(
             make_server(f"i-{number}", failure_domain=DOMAINS[number % 3]) for number in range(12)
         )
@@ -67,7 +67,7 @@
 
     def test_key_stays_where_it_is_cached(self) -> None:
         async def test() -> None:
-            placement = self.twelve()
+            placement = self.make_placement_with_twelve_servers()
             used = set()
             for _ in range(20):
                 demand = self.demand()
@@ -81,14 +81,14 @@
         self.run_with(test)
 
     def test_few_servers_hold_a_key_also_under_load(self) -> None:
-        """Symptom: under high load every request takes as long as an uncached one.
+        """Guards against spillover that makes every request take as long as an uncached one.
 
-        Requests that spilled over to any backend server with room brought every key to all of
-        them; the caches overflowed and the load rose further.
+        If requests spill over to any backend server with capacity under high load, every key
+        reaches all servers, the caches overflow, and the load rises further.
         """
 
         async def test() -> None:
-            placement = self.twelve()
+            placement = self.make_placement_with_twelve_servers()
             used: Counter[str] = Counter()
             for _ in range(60):
                 choice = placement.choose(self.demand())
@@ -99,9 +99,9 @@
 
         self.run_with(test)
 
-    def test_homes_bind(self) -> None:
+    def test_only_home_regions_are_chosen(self) -> None:
         async def test() -> None:
-            placement = self.twelve()
+            placement = self.make_placement_with_twelve_servers()
             route = make_route(home_regions=frozenset(["b"]))
             for number in range(30):
                 choice = self.choose(placement, self.demand(str(number), route=route))
@@ -109,11 +109,11 @@
 
         self.run_with(test)
 
-    def test_without_an_allowed_region_nothing_is_sent(self) -> None:
-        """Guards against taking no home in common for no homes."""
+    def test_without_a_home_region_no_server_is_chosen(self) -> None:
+        """Guards against taking an empty set of home regions for an unrestricted route."""
 
         async def test() -> None:
-            placement = self.twelve()
+            placement = self.make_placement_with_twelve_servers()
             route = make_route(home_regions=frozenset())
             chosen = placement.choose(self.demand(route=route))
             self.assertEqual(chosen, NotPlaced("no backend server"))
@@ -122,14 +122,14 @@
 
     def test_server_that_was_tried_is_not_chosen_again(self) -> None:
         async def test() -> None:
-            placement = self.twelve()
+            placement = self.make_placement_with_twelve_servers()
             first = self.choose(placement, self.demand())
             second = self.choose(placement, self.demand(tried=[first.entry.server_id]))
             self.assertNotEqual(first.entry, second.entry)
 
         self.run_with(test)
 
-    def test_unreachable_server_rests_and_comes_back(self) -> None:
+    def test_unreachable_server_is_used_again_after_backoff_and_connection(self) -> None:
         async def test() -> None:
             self.fleet.update([make_server("i-1"), make_server("i-2")])
             placement = make_placement(self.fleet)
@@ -143,7 +143,7 @@
             chosen = {
                 self.choose(placement, self.demand(str(n))).entry.server_id for n in range(20)
             }
-            self.assertEqual(chosen, {"i-2"}, "before it was found to be reachable")
+            self.assertEqual(chosen, {"i-2"}, "before a connection opened")
             (rested,) = placement.servers_to_probe()
             placement.record_reachable(rested)
             chosen = {
@@ -153,8 +153,8 @@
 
         self.run_with(test)
 
-    def test_suspicion_of_all_is_no_reason_to_refuse(self) -> None:
-        """Symptom: an instance refuses everything after its own link failed for a moment."""
+    def test_suspicion_is_ignored_if_all_servers_are_suspect(self) -> None:
+        """Guards against refusing all requests after a short failure of the instance's link."""
 
         async def test() -> None:
             self.fleet.update([make_server("i-1"), make_server("i-2")])
@@ -165,7 +165,7 @@
 
         self.run_with(test)
 
-    def test_urgent_requests_find_room_behind_the_others(self) -> None:
+    def test_urgent_requests_may_queue_behind_others(self) -> None:
         async def test() -> None:
             self.fleet.update([make_server("i-1")])
             placement = make_placement(self.fleet)
@@ -177,15 +177,15 @@
         self.run_with(test)
 
     def test_instance_that_was_frozen_serves_again(self) -> None:
-        """Symptom: an instance refuses nearly all requests as too late, for the rest of the day.
+        """Guards against an instance that refuses nearly all requests as too late for good.
 
-        Sequence: it is frozen for five seconds with requests at its backend servers. When it wakes,
-        their answers have taken five seconds. Cause: they were learned as the time that requests of
-        the route take; no request was sent that could have shown better.
+        After a freeze of five seconds, the answers of the requests in flight seem to have taken
+        five seconds. If that becomes the estimated service time of the route, no further request is
+        sent that could correct the estimate.
         """
 
         async def test() -> None:
-            placement = self.twelve()
+            placement = self.make_placement_with_twelve_servers()
             for number in range(120):
                 demand = self.demand(str(number // 3))
                 choice = placement.choose(demand)
@@ -203,11 +203,11 @@
 
         self.run_with(test)
 
-    def test_route_added_under_load_waits_like_the_others(self) -> None:
-        """Guards against refusing a route's first requests behind queues that others wait in."""
+    def test_route_added_under_load_may_wait_like_others(self) -> None:
+        """Guards against refusing a new route's requests at queues in which other requests wait."""
 
         async def test() -> None:
-            placement = self.twelve()
+            placement = self.make_placement_with_twelve_servers()
             known = make_route("known", objective_s=0.25)
             for number in range(120):
                 await trio.sleep(0.01)
@@ -252,8 +252,8 @@
         self.run_with(test)
 
 
-class CachedPartTest(unittest.TestCase):
-    def test_small_failure_domain_holds_what_its_slots_can_serve(self) -> None:
+class CachedFractionTest(unittest.TestCase):
+    def test_small_failure_domain_caches_what_its_slots_can_serve(self) -> None:
         async def test() -> None:
             fleet = Fleet(region_of=REGION_OF)
             fleet.update(
@@ -265,7 +265,7 @@
             part = CachedFraction(fleet=fleet, entries=FixedEntryCounts(1, 1, 1))
             for _ in range(2000):
                 part.record_request("desk", 0.1)
-                await trio.sleep(0.02)  # 50 a second of 0.1 s each: 5 slots are wanted.
+                await trio.sleep(0.02)  # 50 requests a second of 0.1 s each need 5 slots.
             for _ in range(60):
                 part.record_request("desk", 0.1)
                 part.domain_fraction("desk", "a-1")
@@ -299,7 +299,7 @@
     def loss(self, **changes) -> float:
         return expect(self.prospect._replace(**changes), objective_s=0.3).loss
 
-    def test_what_makes_a_server_worse(self) -> None:
+    def test_loss_rises_with_each_disadvantage(self) -> None:
         best = self.loss()
         for worse in (
             {"cached": 0.05},
@@ -311,7 +311,7 @@
         ):
             self.assertGreater(self.loss(**worse), best, worse)
 
-    def test_far_cached_server_beats_a_near_uncached_one(self) -> None:
+    def test_distant_server_with_the_object_beats_a_near_one_without(self) -> None:
         far = self.loss(round_trip_s=0.11, crosses_region=True)
         self.assertLess(far, self.loss(cached=0.05))
 
--- a/tests/cover/test_region_mix.py
+++ b/tests/cover/test_region_mix.py
@@ -1,4 +1,4 @@
-"""How fast the regions in which requests run may change."""
+"""Limit on how fast requests may shift between regions."""
 
 import unittest
 from collections import Counter
@@ -23,11 +23,11 @@
 from wagtailpoint.placement.server_load import LoadReport
 
 FEW_PER_S = 8
-"""Requests a second of an instance among many."""
+"""Request rate of one of many instances."""
 
 
 class RegionMixTest(unittest.TestCase):
-    """Where requests run does not change suddenly, but for faults."""
+    """The regions in which requests run change gradually, except after faults."""
 
     def setUp(self) -> None:
         logger.disable("wagtailpoint")
@@ -45,7 +45,7 @@
     async def far_share(
         self, seconds: float = 2.0, near_load: int = 0, placements: Sequence[Placement] = ()
     ) -> float:
-        """The part of the requests of some seconds that run in the far region."""
+        """Return the fraction of the requests of some seconds that run in the distant region."""
         ran: Counter[str] = Counter()
         for number in range(int(seconds * 50)):
             await trio.sleep(0.02)
@@ -55,7 +55,7 @@
         return ran["b"] / ran.total()
 
     def request(self, placement: Placement, number: int, near_load: int) -> str:
-        """Send one request; the region where it runs."""
+        """Send one request; return the region where it runs."""
         route = make_route(objective_s=0.5)
         demand = Demand(route, "desk", None, f"k{number % 40}", (), 1.0, 0.5)
         placement.record_request(demand)
@@ -69,11 +69,11 @@
         placement.record_end(choice.entry, underway)
         return choice.region
 
-    def test_load_moves_few_requests_at_a_time(self) -> None:
-        """Symptom: within two seconds a third of a region's requests run in another region.
+    def test_load_shifts_requests_gradually(self) -> None:
+        """Guards against a third of a region's requests running elsewhere within two seconds.
 
-        Sequence: the backend servers of the own region tell for the first time how full they are.
-        Cause: each request goes where it is answered soonest by what is known now.
+        The first load reports show that the backend servers of the region are full. Without a limit
+        each request goes where an answer is expected soonest.
         """
 
         async def test() -> None:
@@ -89,12 +89,12 @@
         self.run_with(test)
 
     def test_many_instances_with_few_requests_each(self) -> None:
-        """Symptom: 27 in 100 requests of a region change their region within two seconds.
+        """Guards against 27 in 100 requests of a region running elsewhere within two seconds.
 
-        Sequence: 25 instances share the callers of the region, and each sends some 16 requests in
-        two seconds; the backend servers of the region fill up, and all instances notice at once.
-        Cause: an instance that sends fewer than 30 requests in two seconds could not tell a shift
-        from chance, and did not limit it at all.
+        25 instances share the callers of the region and send some 16 requests each in two seconds;
+        the backend servers of the region fill up, and all instances notice at once. An instance
+        with fewer than 30 requests in two seconds cannot tell a shift from random variation; if it
+        does not limit the shift, the shifts of all instances add up.
         """
 
         async def test() -> None:
@@ -110,7 +110,7 @@
 
         self.run_with(test)
 
-    def test_faults_move_all_at_once(self) -> None:
+    def test_lost_region_shifts_all_requests_at_once(self) -> None:
         async def test() -> None:
             for _ in range(5):
                 before = await self.far_share()
