--- a/src/wagtailpoint/locality/nearness.py
+++ b/src/wagtailpoint/locality/nearness.py
@@ -51,12 +51,14 @@
                 among those that are equally near.
         """
         nearest = sum(self._tiers[server] == 0 for server in usable)
-        joined = nearest < MIN_USABLE_FRACTION * self._nearest_count
-        tiers = {server: max(0, self._tiers[server] - joined) for server in usable}
-        order = sorted(usable, key=lambda server: (tiers[server], not self._is_own(server)))
+        tier_offset = nearest < MIN_USABLE_FRACTION * self._nearest_count
+        tiers = {server: max(0, self._tiers[server] - tier_offset) for server in usable}
+        order = sorted(
+            usable, key=lambda server: (tiers[server], not self._is_in_own_domain(server))
+        )
         return {server: tiers[server] for server in order}
 
-    def _is_own(self, server: BackendServer) -> bool:
+    def _is_in_own_domain(self, server: BackendServer) -> bool:
         return server.failure_domain == self._failure_domain
 
 
--- a/src/wagtailpoint/retries/budget.py
+++ b/src/wagtailpoint/retries/budget.py
@@ -10,7 +10,7 @@
 
 
 class _Slice(NamedTuple):
-    began: float
+    began_at: float
     fresh: int
     retries: int
 
@@ -33,14 +33,14 @@
         """
         self._clock = clock
         self._ratio = ratio
-        self._minimum = minimum_per_s * WINDOW_S
+        self._min_retries = minimum_per_s * WINDOW_S
         self._slices: deque[_Slice] = deque()
 
     @property
-    def left(self) -> float:
+    def remaining(self) -> float:
         """Retries allowed now."""
         self._expire()
-        return self._whole - sum(part.retries for part in self._slices)
+        return self._allowed_retries - sum(slice_.retries for slice_ in self._slices)
 
     def record_request(self) -> None:
         """Count a fresh request."""
@@ -53,24 +53,24 @@
         Args:
             reserve_fraction: The part (0 to 1) of the whole budget that must be left after it.
         """
-        if self.left - 1 < reserve_fraction * self._whole:
+        if self.remaining - 1 < reserve_fraction * self._allowed_retries:
             return False
         newest = self._newest()
         self._slices[-1] = newest._replace(retries=newest.retries + 1)
         return True
 
     @property
-    def _whole(self) -> float:
-        return self._minimum + self._ratio * sum(part.fresh for part in self._slices)
+    def _allowed_retries(self) -> float:
+        return self._min_retries + self._ratio * sum(slice_.fresh for slice_ in self._slices)
 
     def _newest(self) -> _Slice:
         self._expire()
         now = self._clock.monotonic()
-        if not self._slices or now - self._slices[-1].began >= WINDOW_S / _SLICES:
+        if not self._slices or now - self._slices[-1].began_at >= WINDOW_S / _SLICES:
             self._slices.append(_Slice(now, 0, 0))
         return self._slices[-1]
 
     def _expire(self) -> None:
-        oldest = self._clock.monotonic() - WINDOW_S
-        while self._slices and self._slices[0].began <= oldest:
+        expired_before = self._clock.monotonic() - WINDOW_S
+        while self._slices and self._slices[0].began_at <= expired_before:
             self._slices.popleft()
--- a/src/wagtailpoint/retries/policy.py
+++ b/src/wagtailpoint/retries/policy.py
@@ -7,7 +7,7 @@
 from wagtailpoint.verdict import Verdict
 
 MAX_ATTEMPTS = 3
-LEAST_REMAINING_S = 0.005
+MIN_REMAINING_S = 0.005
 
 
 class RetryDecision(NamedTuple):
@@ -44,7 +44,7 @@
         return RetryDecision(False, "may-have-run")
     if attempts >= MAX_ATTEMPTS:
         return RetryDecision(False, "most-attempts")
-    if remaining_s < LEAST_REMAINING_S:
+    if remaining_s < MIN_REMAINING_S:
         return RetryDecision(False, "deadline")
     if not budget.take():
         return RetryDecision(False, "budget")
--- a/src/wagtailpoint/routing/split.py
+++ b/src/wagtailpoint/routing/split.py
@@ -6,10 +6,10 @@
 
 from wagtailpoint.routing.table import HostRoute, SplitPart
 
-MOST_ROUTES: Final = 10_000
+MAX_ROUTES: Final = 10_000
 """Routes whose turns are remembered; routes come and go with the configuration."""
 
-MOST_SKIPPED_TURNS: Final = 64
+MAX_SKIPPED_TURNS: Final = 64
 """So many turns at most are skipped at the start of a split."""
 
 
@@ -40,10 +40,10 @@
         return turns.next()
 
     def _begin(self, route: HostRoute) -> "_Turns":
-        if len(self._turns) >= MOST_ROUTES:
+        if len(self._turns) >= MAX_ROUTES:
             self._turns.clear()
         turns = self._turns[route.name] = _Turns(parts=route.parts)
-        for _ in range(self._random.randrange(MOST_SKIPPED_TURNS)):
+        for _ in range(self._random.randrange(MAX_SKIPPED_TURNS)):
             turns.next()
         return turns
 
