--- a/src/wagtailpoint/routing/__init__.py
+++ b/src/wagtailpoint/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which rules a request falls under: virtual hosts, path prefixes, weighted splits."""
+"""Routing of requests: virtual hosts, path prefixes, weighted splits and workspaces."""
--- a/src/wagtailpoint/routing/access.py
+++ b/src/wagtailpoint/routing/access.py
@@ -1,4 +1,4 @@
-"""Whether a request may run, by the key that it carries."""
+"""Access control by the workspace key that a request carries."""
 
 from enum import Enum
 
@@ -7,32 +7,32 @@
 
 
 class AccessRefusal(Enum):
-    """Why a request may not run."""
+    """The reason why a request is refused by its key."""
 
     NO_KEY = "no-key"
     UNKNOWN_KEY = "unknown-key"
     UNPROVED = "keys-unproved"
-    """The configuration may be outdated: the key may have been taken away, or added, since."""
+    """The configuration may be stale, so the key may have been revoked or added since."""
 
     @property
     def is_final(self) -> bool:
-        """Whether the same request would be refused again."""
+        """Whether a retry of the same request would be refused again."""
         return self is not AccessRefusal.UNPROVED
 
 
 def check_access(
     table: RouteTable, route: HostRoute, key: bytes | None, *, proved: bool
 ) -> WorkspacePolicy | AccessRefusal | None:
-    """Decide on a request.
+    """Check whether a request may run.
 
     Args:
         table: The configuration in force.
-        route: The request's route.
-        key: The digest of its key; None if it carries none.
-        proved: Whether the configuration is known to have been the newest a short time ago.
+        route: The route of the request.
+        key: The digest of the request's key; None if it carries none.
+        proved: Whether the configuration is proved to have been the newest a short time ago.
 
     Returns:
-        The workspace that holds the key, None if no key is needed, or why it may not run.
+        The workspace of the key, None if no key is needed, or the reason for a refusal.
     """
     if table.workspaces is None or route.public:
         return None
--- a/src/wagtailpoint/routing/split.py
+++ b/src/wagtailpoint/routing/split.py
@@ -1,4 +1,4 @@
-"""Weighted splits: which service a request of a route goes to."""
+"""Weighted splits of a route's requests between services."""
 
 from collections.abc import Sequence
 from random import Random
@@ -7,31 +7,32 @@
 from wagtailpoint.routing.table import HostRoute, SplitPart
 
 MAX_ROUTES: Final = 10_000
-"""Routes whose turns are remembered; routes come and go with the configuration."""
+"""Maximum number of routes with a remembered turn; routes come and go with the configuration."""
 
 MAX_SKIPPED_TURNS: Final = 64
-"""So many turns at most are skipped at the start of a split."""
+"""Upper bound, exclusive, of the turns that are skipped at the start of a split."""
 
 
 class SplitChooser:
-    """Deals the requests of each route by the weights of its parts.
+    """Distributes the requests of each route by the weights of its parts.
 
-    Smooth weighted turns: after any number of requests each part is within one request of its
-    share, where random choice would stray by the square root of the number.
+    It uses smooth weighted round-robin: after any number of requests each part is within one
+    request of its share, whereas random choice would deviate by the square root of that number.
     """
 
     def __init__(self, *, random: Random) -> None:
-        """Make it.
+        """Initialise the chooser.
 
         Args:
-            random: Chooses the turn that a split begins with. If all began with the heaviest part,
-                it would get nearly all requests of many instances with few requests each.
+            random: Selects the turn that a split begins with. If all instances began with the part
+                of the largest weight, it would get nearly all requests of many instances with few
+                requests each.
         """
         self._random = random
         self._turns: dict[str, _Turns] = {}
 
     def choose(self, route: HostRoute) -> str:
-        """The service for the next request of a route."""
+        """Return the service for the next request of a route."""
         if len(route.parts) == 1:
             return route.parts[0].service
         turns = self._turns.get(route.name)
@@ -49,7 +50,7 @@
 
 
 class _Turns:
-    """The turns of one split; other weights begin anew."""
+    """Smooth weighted round-robin for the parts of one split."""
 
     def __init__(self, *, parts: Sequence[SplitPart]) -> None:
         self.parts = parts
@@ -57,7 +58,7 @@
         self._total = sum(part.weight for part in parts)
 
     def next(self) -> str:
-        """The service whose turn it is."""
+        """Return the service whose turn it is."""
         for part in self.parts:
             self._credits[part.service] += part.weight
         chosen = max(self._credits, key=self._credits.__getitem__)
--- a/src/wagtailpoint/routing/table.py
+++ b/src/wagtailpoint/routing/table.py
@@ -1,4 +1,4 @@
-"""The routes in force: found by host and longest path prefix."""
+"""Route table: lookup of a route by host and longest path prefix."""
 
 import re
 from collections.abc import Mapping
@@ -11,20 +11,20 @@
 
 
 class RouteKind(Enum):
-    """What may be repeated."""
+    """The kind of a route, which determines whether its requests may be retried."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
     DOWNLOAD = "download"
-    """Idempotent, with long answers."""
+    """Idempotent, with large answers."""
 
 
 class SplitPart(NamedTuple):
     """A service that gets a part of a route's requests.
 
     Attributes:
-        service: The service.
-        weight: Its part, relative to the others' weights.
+        service: The name of the service.
+        weight: The weight of the part, relative to the weights of the other parts.
     """
 
     service: str
@@ -35,17 +35,18 @@
     """A route of a virtual host.
 
     Attributes:
-        name: Its name.
-        prefix: The path begins with it.
-        kind: What may be repeated.
-        timeout_s: The longest that a caller is kept waiting, in seconds.
-        objective_s: An answer within this time has its full value, in seconds.
-        priority: 0 is the most urgent.
-        max_attempts: The most backend servers that one request may be sent to.
-        sticky: Backend servers that handled the same affinity key lately are faster.
-        home_regions: The regions that may serve it; None for all.
-        parts: The services, one or more.
-        public: Callers need no key.
+        name: The name of the route.
+        prefix: The path prefix of its requests.
+        kind: Determines whether its requests may be retried.
+        timeout_s: The maximum time until an answer, in seconds.
+        objective_s: The latency objective in seconds; an answer within it has its full value.
+        priority: The priority, of which 0 is the most urgent.
+        max_attempts: The maximum number of backend servers that one request is sent to.
+        sticky: Whether requests have an affinity key, and are faster at a backend server that
+            served the same key lately.
+        home_regions: The regions that may serve the route; None for all.
+        parts: One or more services with their weights.
+        public: Whether callers need no key.
     """
 
     name: str
@@ -62,11 +63,11 @@
 
     @property
     def idempotent(self) -> bool:
-        """Whether the request may run more than once."""
+        """Whether a request may run more than once."""
         return self.kind is not RouteKind.NON_IDEMPOTENT
 
     def for_workspace(self, workspace: WorkspacePolicy) -> "HostRoute":
-        """The route as it holds for a workspace: its priority goes first, both their homes bind."""
+        """Return the route with a workspace's priority, limited to the home regions of both."""
         home_regions = self.home_regions
         if workspace.home_regions is not None:
             home_regions = (
@@ -81,14 +82,14 @@
 
 
 class ServicePolicy(NamedTuple):
-    """What the configuration says of a service.
+    """The configuration of a service.
 
     Attributes:
-        name: The service.
-        health_path: Where its backend servers answer a health check.
-        max_connections: A backend server takes so many connections from all callers together.
-        cold_s: A backend server stays cold for so long after its start, in seconds.
-        cold_per_s: Requests a second that a cold backend server bears.
+        name: The name of the service.
+        health_path: The path at which its backend servers answer health checks.
+        max_connections: The maximum number of connections to one backend server from all callers.
+        cold_s: The duration of a backend server's slow start, in seconds.
+        cold_per_s: The requests a second that a backend server can serve during slow start.
     """
 
     name: str
@@ -99,13 +100,13 @@
 
 
 class CallerBounds(NamedTuple):
-    """What a caller may send, and how long it may take.
+    """Limits on the size and the duration of callers' requests.
 
     Attributes:
-        header_bytes: The longest head of a request.
-        body_bytes: The longest body.
-        header_timeout_s: The longest time from the first byte of a head to its end, in seconds.
-        idle_timeout_s: How long a connection may rest between two requests, in seconds.
+        header_bytes: The maximum size of a request's head.
+        body_bytes: The maximum size of a request's body.
+        header_timeout_s: The maximum time from the first byte of a head to its end, in seconds.
+        idle_timeout_s: The maximum time that a connection is idle between requests, in seconds.
     """
 
     header_bytes: int
@@ -117,18 +118,18 @@
 DEFAULT_CALLER_BOUNDS = CallerBounds(
     header_bytes=16 * 1024, body_bytes=64 * 1024 * 1024, header_timeout_s=3.0, idle_timeout_s=15.0
 )
-"""In force until the first configuration is known."""
+"""Limits in force until the first configuration is received."""
 
 
 class RouteTable(NamedTuple):
     """All routes of one version of the configuration.
 
     Attributes:
-        version: Rises with each configuration.
-        hosts: The routes of each host, its name in lower case; the longest prefix first.
-        services: By name.
-        bounds: What callers may send.
-        workspaces: By the digests of their keys; None if callers need no keys.
+        version: The version, which rises with each configuration.
+        hosts: The routes by host name in lower case, those with the longest prefix first.
+        services: The services by name.
+        bounds: The limits on callers' requests.
+        workspaces: The workspaces by the digests of their keys; None if callers need no keys.
     """
 
     version: int
@@ -138,11 +139,11 @@
     workspaces: WorkspacesByKey | None = None
 
     def find(self, host: str, path: str) -> HostRoute | None:
-        """Find the route with the longest prefix that begins the path.
+        """Return the route with the longest prefix of the path; None if there is none.
 
         Args:
-            host: The name in the request's head, with or without a port.
-            path: Without the query.
+            host: The host name of the request, with or without a port.
+            path: The path without the query.
         """
         name = _PORT.sub("", host.lower())
         for route in self.hosts.get(name, ()):
--- a/src/wagtailpoint/routing/workspaces.py
+++ b/src/wagtailpoint/routing/workspaces.py
@@ -1,4 +1,4 @@
-"""Workspaces by the keys that their callers send, and what they may do."""
+"""Workspaces, identified by the keys that their callers send, and their policies."""
 
 from collections.abc import Mapping
 from hashlib import blake2b
@@ -14,13 +14,13 @@
 
 
 class WorkspacePolicy(NamedTuple):
-    """What the configuration says of a workspace.
+    """The configuration of a workspace.
 
     Attributes:
-        name: Unique in the deployment; backend servers are told it.
-        priority: Goes before that of the route; 0 is the most urgent, None if it has none.
-        home_regions: The regions that may serve it; None for all.
-        allowance: What it may send; None if not limited.
+        name: The name, unique in the deployment; it is sent to backend servers.
+        priority: Overrides the priority of the route; 0 is the most urgent, None if not set.
+        home_regions: The regions that may serve the workspace; None for all.
+        allowance: The rate limit of its requests; None if not limited.
     """
 
     name: str
@@ -30,21 +30,21 @@
 
 
 WorkspacesByKey = Mapping[bytes, WorkspacePolicy]
-"""Workspaces by the digests of their keys; the keys themselves are not kept."""
+"""Workspaces by the digests of their keys; the keys themselves are not stored."""
 
 
 def key_digest(key: bytes) -> bytes:
-    """The digest that stands for a key."""
+    """Return the digest under which a key is stored."""
     return blake2b(key, digest_size=_DIGEST_BYTES).digest()
 
 
 def abbreviate_digest(digest: bytes | None) -> str:
-    """Enough of a digest to find a key's log lines; empty if there is no key."""
+    """Return the first digits of a digest, for the log; empty if there is no key."""
     return digest.hex()[:_LOGGED_DIGITS] if digest is not None else ""
 
 
 def parse_key_digest(headers: Headers) -> bytes | None:
-    """The digest of the key that a request carries; None if it carries none, or more than one.
+    """Return the digest of the key that a request carries; None without exactly one key.
 
     The scheme may be written in any case (RFC 9110, section 11.1).
     """
--- a/tests/cover/test_routing.py
+++ b/tests/cover/test_routing.py
@@ -1,4 +1,4 @@
-"""Routes by host and prefix, and weighted splits."""
+"""Lookup of routes by host and prefix, and weighted splits."""
 
 import unittest
 from collections import Counter
@@ -17,13 +17,13 @@
         self.assertEqual(table.find("h", "/a/bc"), short)
         self.assertIsNone(table.find("h", "/a"))
 
-    def test_host_in_any_case(self) -> None:
+    def test_host_name_ignores_case(self) -> None:
         table = make_table(make_route("a"))
         self.assertIsNotNone(table.find("H", "/a/"))
         self.assertIsNone(table.find("other", "/a/"))
 
-    def test_host_with_a_port(self) -> None:
-        """Guards against 404 for callers that name the port they connect to."""
+    def test_host_name_may_have_a_port(self) -> None:
+        """Guards against 404 for callers that send the port in the host header."""
         table = make_table(make_route("a"))
         self.assertIsNotNone(table.find("h:8144", "/a/"))
         self.assertIsNone(table.find("h:", "/b/"))
@@ -38,7 +38,7 @@
             counts = Counter(chooser.choose(route) for _ in range(10))
             self.assertEqual(counts, {"x": 9, "y": 1})
 
-    def test_changed_weights_hold_at_once(self) -> None:
+    def test_changed_weights_apply_at_once(self) -> None:
         chooser = SplitChooser(random=Random(1))
         first = make_route(parts=(SplitPart("x", 90), SplitPart("y", 10)))
         for _ in range(7):
@@ -47,8 +47,8 @@
         counts = Counter(chooser.choose(second) for _ in range(100))
         self.assertLess(abs(counts["x"] - 50), 5)
 
-    def test_weights_on_another_scale_hold_at_once(self) -> None:
-        """Guards against turns dealt by earlier weights that send all requests to one part."""
+    def test_weights_on_another_scale_apply_at_once(self) -> None:
+        """Guards against credits from earlier weights that send all requests to one part."""
         for requests in range(10):
             chooser = SplitChooser(random=Random(requests))
             first = make_route(parts=(SplitPart("x", 90), SplitPart("y", 10)))
@@ -58,8 +58,8 @@
             counts = Counter(chooser.choose(second) for _ in range(20))
             self.assertEqual(counts, {"x": 10, "y": 10})
 
-    def test_first_requests_of_many_instances_keep_the_weights(self) -> None:
-        """Guards against instances with few requests that all begin with the heaviest part."""
+    def test_first_requests_of_many_instances_follow_the_weights(self) -> None:
+        """Guards against instances with few requests that all begin with the largest weight."""
         for heavy in (50, 70, 90):
             parts = (SplitPart("x", heavy), SplitPart("y", 100 - heavy))
             route = make_route(parts=parts)
