--- a/src/wagtailpoint/locality/__init__.py
+++ b/src/wagtailpoint/locality/__init__.py
@@ -1,4 +1,4 @@
-"""Which backend servers are near: an entry's own region first, then the next by latency."""
+"""Locality: tiers of backend servers by the latency from an entry's region to theirs."""
 
 from wagtailpoint.locality.nearness import MIN_USABLE_FRACTION, Nearness
 
--- a/src/wagtailpoint/locality/nearness.py
+++ b/src/wagtailpoint/locality/nearness.py
@@ -1,4 +1,4 @@
-"""How near the backend servers of one group are to one entry."""
+"""Locality tiers of one group's backend servers, as seen from one entry."""
 
 from collections.abc import Mapping, Sequence
 from math import inf
@@ -7,17 +7,17 @@
 from wagtailpoint.config.model import BackendServer, Region
 
 MIN_USABLE_FRACTION: Final = 0.5
-"""With less than this part of the nearest region's backend servers usable, the next region is used
-alike. The few that are left would otherwise be filled to the last slot before anything spills over,
-and one more failure would meet them at their worst."""
+"""If less than this fraction of the nearest region's backend servers is usable, the next region
+joins the nearest tier. Otherwise the few usable ones would be filled to the last slot before
+requests spill over, and a further failure would hit them at full load."""
 
 
 class Nearness:
-    """The tiers of one group's backend servers, as seen from one failure domain.
+    """Assigns the backend servers of one group to tiers, as seen from one failure domain.
 
-    The backend servers of the entry's own region are tier 0, those of the next region by latency
-    tier 1, and so on; regions of equal latency share a tier. Failure domains of one region share
-    a tier as well: the millisecond between them is less than a slot's turn.
+    The backend servers of the entry's region are tier 0, those of the next region by latency tier
+    1, and so on; regions of equal latency share a tier. Failure domains of one region share a tier
+    as well: the latency of about 1 ms between them is shorter than the wait for a slot.
     """
 
     def __init__(
@@ -27,12 +27,12 @@
         regions: Mapping[str, Region],
         failure_domain: str,
     ) -> None:
-        """Rank a group's backend servers.
+        """Compute the tiers of a group's backend servers.
 
         Args:
-            servers: All backend servers of the group, drained ones too.
-            regions: All regions.
-            failure_domain: Where the entry runs.
+            servers: All backend servers of the group, drained ones included.
+            regions: All regions by name.
+            failure_domain: The failure domain where the entry runs.
         """
         latencies = _latencies(regions, failure_domain)
         distances = [latencies.get(server.failure_domain, inf) for server in servers]
@@ -44,10 +44,10 @@
         self._failure_domain = failure_domain
 
     def assign_tiers(self, usable: Sequence[BackendServer]) -> dict[BackendServer, int]:
-        """The tier of each usable backend server, lower is better, in order of preference.
+        """Return the tier of each usable backend server, 0 the nearest, in order of preference.
 
         Args:
-            usable: Those that may get new work now, a part of the group. Their order is kept
+            usable: The backend servers of the group that may get new work. Their order is preserved
                 among those that are equally near.
         """
         nearest = sum(self._tiers[server] == 0 for server in usable)
@@ -63,7 +63,7 @@
 
 
 def _latencies(regions: Mapping[str, Region], failure_domain: str) -> dict[str, float]:
-    """One-way latency to each failure domain in milliseconds, that within a region taken as 0."""
+    """Return the one-way latency to each failure domain in ms, 0 within the own region."""
     own = next(
         (region for region in regions.values() if failure_domain in region.failure_domains), None
     )
--- a/src/wagtailpoint/retries/__init__.py
+++ b/src/wagtailpoint/retries/__init__.py
@@ -1,1 +1,1 @@
-"""Retries: which are allowed, and out of which budget."""
+"""Retries: the decision on a retry, and the retry budget of a service."""
--- a/src/wagtailpoint/retries/budget.py
+++ b/src/wagtailpoint/retries/budget.py
@@ -1,4 +1,4 @@
-"""The retry budget of one service: retries as a part of fresh requests."""
+"""Retry budget of one service, as a fraction of its first attempts."""
 
 from collections import deque
 from typing import NamedTuple
@@ -16,19 +16,19 @@
 
 
 class RetryBudget:
-    """Allows retries up to a ratio of the fresh requests of the last ten seconds.
+    """Allows retries up to a ratio of the first attempts in the last ten seconds.
 
-    When every backend server fails, each request would otherwise be sent several times, and the
-    load that keeps them failing would be multiplied by the retries.
+    If all backend servers fail, each request would otherwise be sent several times, and the retries
+    would multiply the load that keeps the servers failing.
     """
 
     def __init__(self, *, clock: Clock, ratio: float, minimum_per_s: float) -> None:
-        """Make a full budget.
+        """Initialise a full budget.
 
         Args:
-            clock: Moves the window.
-            ratio: Retries allowed as a part of fresh requests, 0 to 1.
-            minimum_per_s: Retries a second that are always allowed, for services with little
+            clock: The clock of the sliding window.
+            ratio: The allowed ratio of retries to first attempts, 0 to 1.
+            minimum_per_s: The retries a second that are always allowed, for services with little
                 traffic, where the ratio alone would allow none.
         """
         self._clock = clock
@@ -38,20 +38,20 @@
 
     @property
     def remaining(self) -> float:
-        """Retries allowed now."""
+        """The number of retries that are allowed at the moment."""
         self._expire()
         return self._allowed_retries - sum(slice_.retries for slice_ in self._slices)
 
     def record_request(self) -> None:
-        """Count a fresh request."""
+        """Record the first attempt of a request."""
         newest = self._newest()
         self._slices[-1] = newest._replace(fresh=newest.fresh + 1)
 
     def take(self, *, reserve_fraction: float = 0.0) -> bool:
-        """Take one retry out of the budget; False if none is left.
+        """Take one retry from the budget; return False if none is left.
 
         Args:
-            reserve_fraction: The part (0 to 1) of the whole budget that must be left after it.
+            reserve_fraction: The fraction, 0 to 1, of the total budget that must remain afterwards.
         """
         if self.remaining - 1 < reserve_fraction * self._allowed_retries:
             return False
--- a/src/wagtailpoint/retries/policy.py
+++ b/src/wagtailpoint/retries/policy.py
@@ -1,4 +1,4 @@
-"""When a request may be sent again, and where to."""
+"""Decision on a retry, and the order of candidates for it."""
 
 from collections.abc import Sequence
 from typing import NamedTuple, Protocol, TypeVar
@@ -11,7 +11,7 @@
 
 
 class RetryDecision(NamedTuple):
-    """Whether to send again; the reason is one word for logs and metrics."""
+    """The decision on a retry; the reason is one word for logs and metrics."""
 
     allowed: bool
     reason: str
@@ -26,15 +26,15 @@
     remaining_s: float,
     budget: RetryBudget,
 ) -> RetryDecision:
-    """Decide on a retry; an allowed one is taken out of the budget.
+    """Decide on a retry, and take it from the budget if it is allowed.
 
     Args:
-        idempotent: The request may run twice.
-        verdict: Of the attempt that failed.
-        response_started: A byte of the response has gone to the caller.
-        attempts: Attempts made so far.
-        remaining_s: Seconds left until the caller's deadline.
-        budget: The service's.
+        idempotent: Whether the request may run twice.
+        verdict: The verdict of the failed attempt.
+        response_started: Whether a byte of the response was sent to the caller.
+        attempts: The number of attempts so far.
+        remaining_s: The time until the caller's deadline, in seconds.
+        budget: The retry budget of the service.
     """
     if response_started:
         return RetryDecision(False, "response-started")
@@ -52,11 +52,11 @@
 
 
 class Placed(Protocol):
-    """Something in a failure domain."""
+    """An object with a failure domain."""
 
     @property
     def failure_domain(self) -> str:
-        """Where it runs."""
+        """The failure domain where it runs."""
         ...
 
 
@@ -64,10 +64,10 @@
 
 
 def order_for_retry(candidates: Sequence[PlacedT], tried: Sequence[PlacedT]) -> list[PlacedT]:
-    """Return the candidates not yet tried, those in untried failure domains first.
+    """Return the untried candidates, those in untried failure domains first.
 
-    What made the first attempt fail often struck its whole failure domain. The order is otherwise
-    kept.
+    The fault behind a failed attempt often affects its whole failure domain. The order is otherwise
+    preserved.
     """
     failed = {candidate.failure_domain for candidate in tried}
     fresh = [candidate for candidate in candidates if candidate not in tried]
--- a/tests/cover/test_retries.py
+++ b/tests/cover/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries: when, and how many."""
+"""Retry budget, decision on a retry, and order of candidates for it."""
 
 import unittest
 from typing import NamedTuple
@@ -10,8 +10,8 @@
 
 
 class RetryBudgetTest(unittest.TestCase):
-    def test_failing_service_gets_a_part_of_fresh_requests(self) -> None:
-        """A failing service stays down: each of its requests is sent three times."""
+    def test_retries_are_limited_to_a_ratio_of_first_attempts(self) -> None:
+        """Guards against a service that stays down because each request is sent three times."""
         clock = FakeClock()
         budget = RetryBudget(clock=clock, ratio=0.1, minimum_per_s=0.0)
         taken = 0
@@ -21,8 +21,8 @@
             taken += budget.take() + budget.take()
         self.assertEqual(taken, 100)
 
-    def test_second_copies_leave_half_of_the_budget_to_retries(self) -> None:
-        """One fails while all are slow: its requests find the budget spent on second copies."""
+    def test_hedged_requests_leave_half_of_the_budget_to_retries(self) -> None:
+        """Guards against hedged requests to slow servers that use up the budget for failures."""
         clock = FakeClock()
         budget = RetryBudget(clock=clock, ratio=0.1, minimum_per_s=0.0)
         for _ in range(1000):
@@ -30,19 +30,19 @@
         self.assertEqual(sum(budget.take(reserve_fraction=0.5) for _ in range(100)), 50)
         self.assertEqual(sum(budget.take() for _ in range(100)), 50)
 
-    def test_fresh_requests_count_for_ten_seconds(self) -> None:
+    def test_first_attempts_count_for_ten_seconds(self) -> None:
         clock = FakeClock()
         budget = RetryBudget(clock=clock, ratio=1.0, minimum_per_s=0.0)
         budget.record_request()
         clock.now += 10.0
         self.assertFalse(budget.take())
 
-    def test_quiet_service_may_retry(self) -> None:
+    def test_service_with_little_traffic_may_retry(self) -> None:
         budget = RetryBudget(clock=FakeClock(), ratio=0.1, minimum_per_s=0.1)
         self.assertEqual([budget.take(), budget.take()], [True, False])
 
 
-class MayRetryTest(unittest.TestCase):
+class DecideRetryTest(unittest.TestCase):
     def reason(
         self,
         *,
@@ -62,7 +62,7 @@
             budget=RetryBudget(clock=FakeClock(), ratio=0.0, minimum_per_s=per_s),
         ).reason
 
-    def test_reasons(self) -> None:
+    def test_reason_of_each_decision(self) -> None:
         self.assertEqual(self.reason(), "retry")
         self.assertEqual(self.reason(idempotent=False), "may-have-run")
         self.assertEqual(self.reason(idempotent=False, verdict=Verdict.NOT_RUN), "retry")
--- a/tests/nocover/test_policy_benches.py
+++ b/tests/nocover/test_policy_benches.py
@@ -1,4 +1,4 @@
-"""The bounds of the benches of locality and moves hold."""
+"""Run the models of locality and moves, which check their own bounds."""
 
 import unittest
 
