--- a/src/wagtailpoint/idempotency/bound_entry.py
+++ b/src/wagtailpoint/idempotency/bound_entry.py
@@ -21,7 +21,7 @@
 REPLY_TIMEOUT_S = 0.5
 """An instance that lives replies at once, also when the key is still in flight there."""
 
-LONGEST_WAIT_S = 60.0
+MAX_WAIT_S = 60.0
 """No longer than this is a key in flight waited for on behalf of a peer, in seconds."""
 
 FORBIDDEN_RETRY_AFTER_S = 0.0
@@ -137,7 +137,7 @@
             # dead entry until their deadlines.
             wait = AwaitKey(*question)
             replied = await self._peers.request(address, wait, timeout_s=wait_s)
-        return _outcome(replied.ok_value) if isinstance(replied, Ok) else None
+        return _from_message(replied.ok_value) if isinstance(replied, Ok) else None
 
     async def await_claimed(
         self, key: RequestKey, incarnation: str, *, wait_s: float
@@ -148,7 +148,7 @@
             return None
         question = AwaitClaimedKey(key.workspace, key.key)
         replied = await self._peers.request(address, question, timeout_s=wait_s)
-        outcome = _outcome(replied.ok_value) if isinstance(replied, Ok) else None
+        outcome = _from_message(replied.ok_value) if isinstance(replied, Ok) else None
         return None if isinstance(outcome, NotRun) else outcome
 
     def _on_settle(self, received: Received) -> KeySettled:
@@ -161,35 +161,35 @@
         self._nursery.start_soon(self._reply_claimed, received)
 
     async def _reply_settled(self, received: Received) -> None:
-        asked: AwaitKey = received.message
-        attempt = self._keys.in_flight(RequestKey(asked.workspace, asked.key))
+        question: AwaitKey = received.message
+        attempt = self._keys.in_flight(RequestKey(question.workspace, question.key))
         if attempt is not None:
-            with trio.move_on_after(LONGEST_WAIT_S):
+            with trio.move_on_after(MAX_WAIT_S):
                 await attempt.wait()
-        self._peers.reply(received, self._settled(asked))
+        self._peers.reply(received, self._settled(question))
 
     async def _reply_claimed(self, received: Received) -> None:
-        asked: AwaitClaimedKey = received.message
-        key = RequestKey(asked.workspace, asked.key)
+        question: AwaitClaimedKey = received.message
+        key = RequestKey(question.workspace, question.key)
         outcome = self._keys.outcome(key)
         attempt = self._keys.in_flight(key)
         if attempt is not None:
-            with trio.move_on_after(LONGEST_WAIT_S):
+            with trio.move_on_after(MAX_WAIT_S):
                 outcome = await attempt.wait()
         # A refusal of a copy without a binding speaks for that copy only.
-        told = KeyUnsettled() if isinstance(outcome, NotRun) else _as_message(outcome)
-        self._peers.reply(received, told)
+        reply = KeyUnsettled() if isinstance(outcome, NotRun) else _to_message(outcome)
+        self._peers.reply(received, reply)
 
-    def _settled(self, asked: SettleKey | AwaitKey) -> KeySettled:
-        key = RequestKey(asked.workspace, asked.key)
-        binding = Binding(asked.incarnation, asked.epoch, asked.attempt)
+    def _settled(self, question: SettleKey | AwaitKey) -> KeySettled:
+        key = RequestKey(question.workspace, question.key)
+        binding = Binding(question.incarnation, question.epoch, question.attempt)
         outcome = self._keys.forbid(key, binding)
         if outcome is None and self._keys.in_flight(key) is not None:
             return KeyInFlight()
-        return _as_message(outcome)
+        return _to_message(outcome)
 
 
-def _as_message(outcome: Outcome | None) -> KeySettled:
+def _to_message(outcome: Outcome | None) -> KeySettled:
     match outcome:
         case Answered(status, headers, body):
             return KeyAnswered(status, tuple(headers), body)
@@ -201,7 +201,7 @@
             return KeyUnsettled()
 
 
-def _outcome(settled: KeySettled) -> Outcome | None:
+def _from_message(settled: KeySettled) -> Outcome | None:
     match settled:
         case KeyAnswered(status, headers, body):
             return Answered(status, headers, body)
--- a/src/wagtailpoint/idempotency/claims.py
+++ b/src/wagtailpoint/idempotency/claims.py
@@ -15,14 +15,14 @@
 from wagtailpoint.admission.refusal import Refusal, RefusalCode, refuse
 from wagtailpoint.errors import OutcomeUnknown, PlatformUnavailable
 from wagtailpoint.idempotency.keys import RequestKey
-from wagtailpoint.idempotency.outcome import REPEAT_AFTER_S
+from wagtailpoint.idempotency.outcome import DUPLICATE_RETRY_AFTER_S
 from wagtailpoint.ports.clock import Clock
 from wagtailpoint.ports.platform import ABSENT, Conflict, Platform, StoredObject
 from wagtailpoint.verdict import Verdict
 
 CLAIM_KIND = "key-claim"
-COME_BACK_S = 2.0
-_MOST_SETTLINGS = 3
+CLAIM_RETRY_AFTER_S = 2.0
+_MAX_WRITE_ATTEMPTS = 3
 
 
 class ClaimValue(TypedDict):
@@ -57,8 +57,8 @@
 
 class _Held(NamedTuple):
     version: int
-    since: float
-    spent: bool
+    claimed_at: float
+    used: bool
 
 
 class Claims:
@@ -92,8 +92,8 @@
         self._platform = platform
         self._clock = clock
         self._value = ClaimValue(incarnation=incarnation, address=address)
-        self._keep_s = retention_s
-        self._most_held = max_held
+        self._retention_s = retention_s
+        self._max_held = max_held
         self._held: dict[str, _Held] = {}
 
     @property
@@ -106,27 +106,27 @@
         name = key.digest().hex()
         held = self._held.get(name)
         if held is not None:
-            return self._claim_again(name, held)
-        if len(self._held) >= self._most_held:
-            return NotClaimed(_too_many(self._most_held), None)
-        for _ in range(_MOST_SETTLINGS):
+            return self._reuse_claim(name, held)
+        if len(self._held) >= self._max_held:
+            return NotClaimed(_too_many_claims(self._max_held), None)
+        for _ in range(_MAX_WRITE_ATTEMPTS):
             written = await self._platform.put(
                 kind=CLAIM_KIND, name=name, value=dict(self._value), if_version=ABSENT
             )
             match written:
                 case Ok(stored):
-                    return self._hold(stored)
+                    return self._record_held(stored)
                 case Err(Conflict(current)) if current is not None:
-                    return self._judge(current)
+                    return self._resolve(current)
                 case Err(PlatformUnavailable()):
-                    return NotClaimed(_platform_out(), None)
+                    return NotClaimed(_platform_unavailable(), None)
                 case Err(OutcomeUnknown()):
                     # The claim may stand although its answer was lost; writing again without
                     # looking could take it for somebody else's, and refuse our own key.
                     settled = await self._read_back(name)
                     if settled is not None:
                         return settled
-        return NotClaimed(_platform_out(), None)
+        return NotClaimed(_platform_unavailable(), None)
 
     async def release(self, key: RequestKey) -> None:
         """Give a claim back after a proven ``not-run``, so that a later copy may run anywhere.
@@ -136,25 +136,27 @@
         name = key.digest().hex()
         held = self._held.get(name)
         if held is not None:
-            self._held[name] = held._replace(spent=False)
+            self._held[name] = held._replace(used=False)
             await self._remove(name, held)
 
     async def remove_expired(self) -> int:
         """Remove the claims that were kept long enough; returns how many were removed."""
-        oldest = self._clock.monotonic() - self._keep_s
-        old = [(name, held) for name, held in self._held.items() if held.since <= oldest]
+        claimed_before = self._clock.monotonic() - self._retention_s
+        expired = [
+            (name, held) for name, held in self._held.items() if held.claimed_at <= claimed_before
+        ]
         removed = 0
-        for name, held in old:
+        for name, held in expired:
             removed += await self._remove(name, held)
         return removed
 
-    def _claim_again(self, name: str, held: _Held) -> Claimed | NotClaimed:
+    def _reuse_claim(self, name: str, held: _Held) -> Claimed | NotClaimed:
         # The claim outlives the key store's two epochs. A late copy, unknown to the key store by
         # then, would find the claim naming this process; taking that for leave to run would run
         # the request twice.
-        if held.spent:
-            return NotClaimed(_spent(), self._value)
-        self._held[name] = held._replace(spent=True)
+        if held.used:
+            return NotClaimed(_already_used(), self._value)
+        self._held[name] = held._replace(used=True)
         return Claimed(name)
 
     async def _remove(self, name: str, held: _Held) -> bool:
@@ -169,51 +171,51 @@
         """Return how the claim stands; None if it does not stand (yet), or was not readable."""
         match await self._platform.get(kind=CLAIM_KIND, name=name):
             case Ok(StoredObject() as stored):
-                return self._judge(stored)
+                return self._resolve(stored)
             case _:
                 return None
 
-    def _judge(self, stored: StoredObject) -> Claimed | NotClaimed:
+    def _resolve(self, stored: StoredObject) -> Claimed | NotClaimed:
         holder = ClaimValue(
             incarnation=stored.value["incarnation"], address=stored.value["address"]
         )
         if holder["incarnation"] == self._value["incarnation"]:
-            return self._hold(stored)
+            return self._record_held(stored)
         return NotClaimed(_claimed_elsewhere(holder), holder)
 
-    def _hold(self, stored: StoredObject) -> Claimed:
+    def _record_held(self, stored: StoredObject) -> Claimed:
         self._held[stored.name] = _Held(stored.version, self._clock.monotonic(), True)
         return Claimed(stored.name)
 
 
-def _platform_out() -> Refusal:
+def _platform_unavailable() -> Refusal:
     return refuse(
         HTTPStatus.SERVICE_UNAVAILABLE,
         RefusalCode.PLATFORM_UNAVAILABLE,
         "a key without a binding has to be claimed in the platform, which does not answer; "
         "send the binding of a lookup's entry with the key, or come back later",
-        COME_BACK_S,
+        CLAIM_RETRY_AFTER_S,
     )
 
 
-def _too_many(most: int) -> Refusal:
+def _too_many_claims(max_held: int) -> Refusal:
     return refuse(
         HTTPStatus.SERVICE_UNAVAILABLE,
         RefusalCode.KEY_MEMORY_FULL,
-        f"this entry holds {most} claims of keys without a binding and takes no more; "
+        f"this entry holds {max_held} claims of keys without a binding and takes no more; "
         "send the binding of a lookup's entry with the key, or use another entry",
-        COME_BACK_S,
+        CLAIM_RETRY_AFTER_S,
     )
 
 
-def _spent() -> Refusal:
+def _already_used() -> Refusal:
     return Refusal(
         HTTPStatus.CONFLICT,
         RefusalCode.OUTCOME_UNKNOWN,
         "the key was run here, and its outcome is no longer remembered; read the outcome from "
         "the service",
         Verdict.MAY_HAVE_RUN,
-        REPEAT_AFTER_S,
+        DUPLICATE_RETRY_AFTER_S,
     )
 
 
@@ -223,5 +225,5 @@
         RefusalCode.KEY_CLAIMED_ELSEWHERE,
         f"the key is claimed by {holder['address']}, which alone may run it; repeat it there",
         Verdict.MAY_HAVE_RUN,
-        REPEAT_AFTER_S,
+        DUPLICATE_RETRY_AFTER_S,
     )
--- a/src/wagtailpoint/idempotency/keys.py
+++ b/src/wagtailpoint/idempotency/keys.py
@@ -15,7 +15,7 @@
 from wagtailpoint.admission.refusal import Refusal, RefusalCode, refuse
 from wagtailpoint.idempotency.binding import Binding
 from wagtailpoint.idempotency.outcome import (
-    REPEAT_AFTER_S,
+    DUPLICATE_RETRY_AFTER_S,
     Answered,
     NotRun,
     Outcome,
@@ -142,17 +142,17 @@
         self._incarnation = incarnation
         self._clock = clock
         self._epoch_s = epoch_s
-        self._most_keys = max_keys
-        self._most_answer_bytes = max_answer_bytes
-        self._most_kept_bytes = max_kept_bytes
+        self._max_keys = max_keys
+        self._max_answer_bytes = max_answer_bytes
+        self._max_kept_bytes = max_kept_bytes
         self._epoch = FIRST_EPOCH
         self._epoch_began = clock.monotonic()
         self._sealed_through = FIRST_EPOCH - 1
         self._in_flight: dict[bytes, InFlight] = {}
         self._current: dict[bytes, _Record] = {}
         self._previous: dict[bytes, _Record] = {}
-        self._kept: OrderedDict[bytes, int] = OrderedDict()
-        self._kept_bytes = 0
+        self._answer_sizes: OrderedDict[bytes, int] = OrderedDict()
+        self._answer_bytes = 0
 
     @property
     def binding(self) -> Binding:
@@ -193,28 +193,28 @@
         self._advance()
         if binding is not None and binding.incarnation != self._incarnation:
             return Reject(_other_incarnation(binding, self._incarnation))
-        under = binding or Binding(self._incarnation, self._epoch)
+        effective = binding or Binding(self._incarnation, self._epoch)
         digest = key.digest()
         # A known key goes before the epoch: a request that is in flight for longer than two epochs
         # must still be joined by its repeats, although their binding is old by now.
-        running = self._in_flight.get(digest)
-        if running is not None:
-            if running.fingerprint != fingerprint:
+        in_flight = self._in_flight.get(digest)
+        if in_flight is not None:
+            if in_flight.fingerprint != fingerprint:
                 return Reject(_key_reused(key))
-            return Join(running)
+            return Join(in_flight)
         record = self._current.get(digest) or self._previous.get(digest)
         if record is not None:
-            known = self._begin_known(key, fingerprint, under, record)
+            known = self._begin_known(key, fingerprint, effective, record)
             if known is not None:
                 return known
-        refusal = self._check_epoch(under, is_new=record is None)
+        refusal = self._check_epoch(effective, is_new=record is None)
         if refusal is not None:
             return Reject(refusal)
-        self._forget(digest)
+        self._discard_record(digest)
         self._in_flight[digest] = InFlight(
-            fingerprint=fingerprint, binding=under, bound=binding is not None
+            fingerprint=fingerprint, binding=effective, bound=binding is not None
         )
-        return Run(under)
+        return Run(effective)
 
     def finish(self, key: RequestKey, outcome: Outcome) -> None:
         """Remember how the attempt begun under a key ended, and wake the copies that joined it.
@@ -225,12 +225,12 @@
         self._advance()
         digest = key.digest()
         attempt = self._in_flight.pop(digest)
-        kept = self._limit(outcome)
+        limited = self._limit_answer(outcome)
         # A copy without a binding is arbitrated by its claim in the platform, not by this memory,
         # and its `not-run` speaks for that copy only.
-        if attempt.bound or not isinstance(kept, NotRun):
-            self._current[digest] = _Record(attempt.fingerprint, attempt.binding.attempt, kept)
-            self._keep_answer(digest, kept)
+        if attempt.bound or not isinstance(limited, NotRun):
+            self._current[digest] = _Record(attempt.fingerprint, attempt.binding.attempt, limited)
+            self._record_answer_size(digest, limited)
         attempt.settle(outcome)
 
     def forbid(self, key: RequestKey, binding: Binding) -> Outcome | None:
@@ -247,7 +247,7 @@
         begun = self.begin(key, "", binding)
         match begun:
             case Run():
-                refusal = _forbidden(self._left_s())
+                refusal = _forbidden(self._epoch_remaining_s())
                 self.finish(key, NotRun(refusal))
                 return NotRun(refusal)
             case Reject(refusal) if refusal.code is RefusalCode.KEY_MEMORY_FULL:
@@ -257,29 +257,29 @@
                 return record.outcome if record is not None else None
 
     def _begin_known(
-        self, key: RequestKey, fingerprint: str, under: Binding, record: _Record
+        self, key: RequestKey, fingerprint: str, effective: Binding, record: _Record
     ) -> BeginResult | None:
         """Answer a finished key, or return None if a new attempt may run."""
         refused = isinstance(record.outcome, NotRun)
-        if refused and under.attempt > record.attempt:
+        if refused and effective.attempt > record.attempt:
             return None
         if not refused and record.fingerprint != fingerprint:
             return Reject(_key_reused(key))
-        repeat = replay_outcome(record.outcome)
-        return Reject(repeat) if isinstance(repeat, Refusal) else Replay(repeat)
-
-    def _check_epoch(self, under: Binding, *, is_new: bool) -> Refusal | None:
-        if under.epoch > self._epoch:
-            return _future_epoch(under, self._epoch)
-        if under.epoch < self._epoch - 1:
-            return _stale_epoch(under, self._epoch)
-        if is_new and self.size >= self._most_keys:
+        replay = replay_outcome(record.outcome)
+        return Reject(replay) if isinstance(replay, Refusal) else Replay(replay)
+
+    def _check_epoch(self, effective: Binding, *, is_new: bool) -> Refusal | None:
+        if effective.epoch > self._epoch:
+            return _future_epoch(effective, self._epoch)
+        if effective.epoch < self._epoch - 1:
+            return _stale_epoch(effective, self._epoch)
+        if is_new and self.size >= self._max_keys:
             # This refusal has no room to be remembered. Without the seal, a late copy could run
             # once there is room again, after its caller went elsewhere; the seal makes all
             # unknown keys of all bindings given out so far unable to run, for good.
             self._sealed_through = self._epoch
-        if under.epoch <= self._sealed_through:
-            return _memory_full(self._most_keys, self._left_s())
+        if effective.epoch <= self._sealed_through:
+            return _memory_full(self._max_keys, self._epoch_remaining_s())
         return None
 
     def _advance(self) -> None:
@@ -290,40 +290,40 @@
             return
         self._epoch += passed
         self._epoch_began += passed * self._epoch_s
-        self._drop(self._previous)
+        self._discard_records(self._previous)
         if passed > 1:
-            self._drop(self._current)
+            self._discard_records(self._current)
         self._previous = self._current
         self._current = {}
 
-    def _drop(self, records: dict[bytes, _Record]) -> None:
+    def _discard_records(self, records: dict[bytes, _Record]) -> None:
         for digest in records:
-            self._kept_bytes -= self._kept.pop(digest, 0)
+            self._answer_bytes -= self._answer_sizes.pop(digest, 0)
         records.clear()
 
-    def _left_s(self) -> float:
+    def _epoch_remaining_s(self) -> float:
         return max(0.0, self._epoch_began + self._epoch_s - self._clock.monotonic())
 
     def _record(self, digest: bytes) -> _Record | None:
         return self._current.get(digest) or self._previous.get(digest)
 
-    def _forget(self, digest: bytes) -> None:
+    def _discard_record(self, digest: bytes) -> None:
         self._current.pop(digest, None)
         self._previous.pop(digest, None)
 
-    def _limit(self, outcome: Outcome) -> Outcome:
-        if isinstance(outcome, Answered) and len(outcome.body or b"") > self._most_answer_bytes:
+    def _limit_answer(self, outcome: Outcome) -> Outcome:
+        if isinstance(outcome, Answered) and len(outcome.body or b"") > self._max_answer_bytes:
             return outcome._replace(body=None)
         return outcome
 
-    def _keep_answer(self, digest: bytes, outcome: Outcome) -> None:
+    def _record_answer_size(self, digest: bytes, outcome: Outcome) -> None:
         if not isinstance(outcome, Answered) or outcome.body is None:
             return
-        self._kept[digest] = len(outcome.body)
-        self._kept_bytes += len(outcome.body)
-        while self._kept_bytes > self._most_kept_bytes:
-            oldest, size = self._kept.popitem(last=False)
-            self._kept_bytes -= size
+        self._answer_sizes[digest] = len(outcome.body)
+        self._answer_bytes += len(outcome.body)
+        while self._answer_bytes > self._max_kept_bytes:
+            oldest, size = self._answer_sizes.popitem(last=False)
+            self._answer_bytes -= size
             for records in (self._current, self._previous):
                 record = records.get(oldest)
                 if record is not None and isinstance(record.outcome, Answered):
@@ -338,7 +338,7 @@
         f"{key.workspace}; use a new key for each request",
         # The new request did not run, but the key's verdict is what the caller acts upon.
         Verdict.MAY_HAVE_RUN,
-        REPEAT_AFTER_S,
+        DUPLICATE_RETRY_AFTER_S,
     )
 
 
@@ -348,7 +348,7 @@
         RefusalCode.OTHER_INCARNATION,
         f"the key is bound to {binding.incarnation}, this entry is {own}; it never runs here",
         Verdict.MAY_HAVE_RUN,
-        REPEAT_AFTER_S,
+        DUPLICATE_RETRY_AFTER_S,
     )
 
 
@@ -359,7 +359,7 @@
         f"the binding is of epoch {binding.epoch}, epochs from {epoch - 1} on are accepted; "
         "look up again before the first attempt of a request",
         Verdict.MAY_HAVE_RUN,
-        REPEAT_AFTER_S,
+        DUPLICATE_RETRY_AFTER_S,
     )
 
 
@@ -371,7 +371,7 @@
         "as the lookup gave it",
         # Not `not-run`: a late copy would find the epoch begun.
         Verdict.MAY_HAVE_RUN,
-        REPEAT_AFTER_S,
+        DUPLICATE_RETRY_AFTER_S,
     )
 
 
--- a/src/wagtailpoint/idempotency/outcome.py
+++ b/src/wagtailpoint/idempotency/outcome.py
@@ -8,7 +8,7 @@
 from wagtailpoint.ports.backend import Headers
 from wagtailpoint.verdict import Verdict
 
-REPEAT_AFTER_S = 1.0
+DUPLICATE_RETRY_AFTER_S = 1.0
 """When the caller of a copy that must not run may ask again, in seconds."""
 
 
@@ -57,7 +57,7 @@
         f"the request ran and was answered with status {outcome.status}; its answer is no longer "
         "kept here; read the outcome from the service",
         Verdict.RAN,
-        REPEAT_AFTER_S,
+        DUPLICATE_RETRY_AFTER_S,
     )
 
 
@@ -68,7 +68,7 @@
         RefusalCode.OUTCOME_UNKNOWN,
         f"the request may have run ({outcome.reason}); read the outcome from the service",
         Verdict.MAY_HAVE_RUN,
-        REPEAT_AFTER_S,
+        DUPLICATE_RETRY_AFTER_S,
     )
 
 
