--- a/src/wagtailpoint/idempotency/__init__.py
+++ b/src/wagtailpoint/idempotency/__init__.py
@@ -1,1 +1,1 @@
-"""At most once: keys of non-idempotent requests, their bindings, claims and outcomes."""
+"""At-most-once execution: idempotency keys of requests, their bindings, claims and outcomes."""
--- a/src/wagtailpoint/idempotency/binding.py
+++ b/src/wagtailpoint/idempotency/binding.py
@@ -1,4 +1,4 @@
-"""The binding: which life of which entry may run a keyed request."""
+"""Binding of a keyed request to the one process that may run it."""
 
 import re
 import secrets
@@ -13,19 +13,19 @@
 
 
 def new_incarnation() -> str:
-    """Return the random name of one process life: 16 hexadecimal digits."""
+    """Return a random id for a process from start to end: 16 hexadecimal digits."""
     return secrets.token_hex(8)
 
 
 class Binding(NamedTuple):
-    """What a keyed request is bound to.
+    """The process, epoch and attempt that a keyed request is bound to.
 
     Attributes:
-        incarnation: The process that alone may run it.
-        epoch: The epoch of that process in which the binding was given out.
-        attempt: Raised by the caller each time that the former attempt was answered ``not-run``.
-            Without it a caller could not return to an entry that once refused its key, because
-            the entry could not tell the new attempt from a late copy of the refused one.
+        incarnation: The only process that may run the request.
+        epoch: The epoch of that process in which it issued the binding.
+        attempt: The number of the attempt, which the caller raises each time that an attempt was
+            answered ``not-run``. Without it a caller could not return to an entry that refused its
+            key: the entry could not tell the new attempt from a delayed copy of the refused one.
     """
 
     incarnation: str
@@ -38,7 +38,7 @@
 
 
 def parse_binding(text: str) -> Result[Binding, Mistake]:
-    """Read the text form, as it stands in the header and in a lookup's answer."""
+    """Parse the text form of a binding, as used in the header and in a lookup's answer."""
     match = _TEXT.fullmatch(text)
     if match is None:
         return Err(Mistake("Wagtailpoint-Binding", repr(text[:80]), _EXPECTED))
--- a/src/wagtailpoint/idempotency/bound_entry.py
+++ b/src/wagtailpoint/idempotency/bound_entry.py
@@ -1,8 +1,9 @@
-"""Asks the instance that a key is bound to how the key ended.
+"""Queries to the instance that a key is bound to for the outcome of the key.
 
-A caller that lost its bound entry repeats the request elsewhere. Nobody but the bound incarnation
-knows whether it ran. If that process still lives, asking it turns "may have run" into its answer,
-or into a proven "not run": the question itself forbids the key there, so that no late copy runs.
+A caller that has lost the connection to its bound entry retries at another entry. Only the bound
+incarnation knows whether the request ran. If that process is alive, a query turns "may have run"
+into the answer or into a proven "not run": the query itself forbids the key there, so that no
+delayed copy of the request can run.
 """
 
 from collections.abc import Callable
@@ -19,16 +20,16 @@
 from wagtailpoint.ports.peers import PeerAddress, Peers, Received, register_message
 
 REPLY_TIMEOUT_S = 0.5
-"""An instance that lives replies at once, also when the key is still in flight there."""
+"""A live instance replies at once, even if the key is still in flight there."""
 
 MAX_WAIT_S = 60.0
-"""No longer than this is a key in flight waited for on behalf of a peer, in seconds."""
+"""Maximum time that an instance waits for a key in flight before it replies to a peer."""
 
 FORBIDDEN_RETRY_AFTER_S = 0.0
 
 
 class SettleKey(NamedTuple):
-    """Asks the bound incarnation to forbid a key, or to say how it ended."""
+    """Asks the bound incarnation to forbid a key, or to reply with its outcome."""
 
     workspace: str
     key: str
@@ -38,7 +39,7 @@
 
 
 class AwaitKey(NamedTuple):
-    """Asks the same, but to be answered only when the key is no longer in flight."""
+    """Asks the same as ``SettleKey``, with the reply delayed until the key is not in flight."""
 
     workspace: str
     key: str
@@ -48,32 +49,32 @@
 
 
 class AwaitClaimedKey(NamedTuple):
-    """Asks the holder of a claim how a key without a binding ended, once it has."""
+    """Asks the holder of a claim for the outcome of an unbound key, once it is not in flight."""
 
     workspace: str
     key: str
 
 
 class KeyInFlight(NamedTuple):
-    """The key is in flight: ask by ``AwaitKey`` how it ends."""
+    """Reply that the key is in flight; ``AwaitKey`` gets its outcome."""
 
 
 class KeyUnsettled(NamedTuple):
-    """The key is no longer remembered, or it did not end in time."""
+    """Reply that the key is not remembered, or did not finish in time."""
 
 
 class KeyForbidden(NamedTuple):
-    """The key did not run and never will under this binding."""
+    """Reply that the key did not run and never will under this binding."""
 
 
 class KeyMayHaveRun(NamedTuple):
-    """The key was dispatched, and no whole answer came back."""
+    """Reply that the key was dispatched, but no complete answer was received."""
 
     reason: str
 
 
 class KeyAnswered(NamedTuple):
-    """The key ran and was answered; ``body`` is None if it is no longer kept."""
+    """Reply with the answer of the key; ``body`` is None if it is not kept."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
@@ -93,7 +94,7 @@
 
 
 class BoundEntries:
-    """Answers such questions for this instance, and asks others."""
+    """Asks other instances for the outcomes of keys, and replies to their queries."""
 
     def __init__(
         self,
@@ -103,13 +104,13 @@
         locate: Callable[[str], PeerAddress | None],
         nursery: trio.Nursery,
     ) -> None:
-        """Make it and answer from now on.
+        """Initialise it and register the handlers of queries.
 
         Args:
             peers: The links to the other instances.
-            keys: The keys of this instance.
-            locate: Where an incarnation is heard, if it is believed to be alive.
-            nursery: Runs the waits for keys in flight.
+            keys: The key store of this instance.
+            locate: Returns the address of an incarnation; None if it is not believed alive.
+            nursery: Runs the tasks that wait for keys in flight.
         """
         self._peers = peers
         self._keys = keys
@@ -120,12 +121,12 @@
         peers.handle(AwaitClaimedKey, self._on_await_claimed)
 
     async def settle(self, key: RequestKey, binding: Binding, *, wait_s: float) -> Outcome | None:
-        """Ask the bound incarnation; None if it does not know or does not answer.
+        """Return the outcome of a key by its bound incarnation; None if it gives none.
 
         Args:
             key: The key.
-            binding: As the caller sent it.
-            wait_s: How long a key in flight there is waited for, in seconds.
+            binding: The binding that the caller sent.
+            wait_s: The maximum wait for a key in flight there, in seconds.
         """
         address = self._locate(binding.incarnation)
         if address is None:
@@ -133,8 +134,8 @@
         question = SettleKey(key.workspace, key.key, *binding)
         replied = await self._peers.request(address, question, timeout_s=REPLY_TIMEOUT_S)
         if isinstance(replied, Ok) and isinstance(replied.ok_value, KeyInFlight):
-            # Two questions, because one with so long a timeout would hold up the callers of a
-            # dead entry until their deadlines.
+            # A single query with the timeout ``wait_s`` would delay the callers of a dead entry
+            # until their deadlines.
             wait = AwaitKey(*question)
             replied = await self._peers.request(address, wait, timeout_s=wait_s)
         return _from_message(replied.ok_value) if isinstance(replied, Ok) else None
@@ -142,7 +143,7 @@
     async def await_claimed(
         self, key: RequestKey, incarnation: str, *, wait_s: float
     ) -> Answered | MayHaveRun | None:
-        """Ask the holder of a claim how the key ended; None if it can't say."""
+        """Return the outcome of a key by the holder of its claim; None if it gives none."""
         address = self._locate(incarnation)
         if address is None:
             return None
@@ -176,7 +177,7 @@
         if attempt is not None:
             with trio.move_on_after(MAX_WAIT_S):
                 outcome = await attempt.wait()
-        # A refusal of a copy without a binding speaks for that copy only.
+        # The refusal of a copy without a binding holds for that copy only.
         reply = KeyUnsettled() if isinstance(outcome, NotRun) else _to_message(outcome)
         self._peers.reply(received, reply)
 
@@ -217,7 +218,7 @@
     return refuse(
         HTTPStatus.CONFLICT,
         RefusalCode.KEY_REFUSED,
-        "the key is bound to another entry, which has not run it and now never will; "
-        "look up again and send it with a new binding",
+        "the key is bound to another entry, which has not run it and never will; "
+        "look up again and send the request with a new binding",
         FORBIDDEN_RETRY_AFTER_S,
     )
--- a/src/wagtailpoint/idempotency/claims.py
+++ b/src/wagtailpoint/idempotency/claims.py
@@ -1,10 +1,10 @@
-"""Claims: keys without a binding are claimed in the platform before they are dispatched.
+"""Claims in the platform for keys without a binding, made before the request is dispatched.
 
-A caller that brings a key but no binding may send copies to any entry, so only the platform can
-say which entry runs it. This is the one place where a request waits for the platform.
+A caller that sends a key without a binding may send copies to any entry, so only the platform can
+decide which entry runs it. Nowhere else does a request wait for the platform.
 
-A claim protects for as long as it is kept. A copy that arrives after its removal runs again; with
-a binding there is no such limit.
+A claim protects only while it is stored: a copy that arrives after its removal runs again. A
+binding has no such limit.
 """
 
 from http import HTTPStatus
@@ -26,11 +26,11 @@
 
 
 class ClaimValue(TypedDict):
-    """What a claim's object holds.
+    """The stored value of a claim.
 
     Attributes:
-        incarnation: The process that alone may run the key.
-        address: Where that process listens, for a peer that wants to ask it.
+        incarnation: The only process that may run the key.
+        address: The address where that process listens, for queries of peers.
     """
 
     incarnation: str
@@ -38,17 +38,17 @@
 
 
 class Claimed(NamedTuple):
-    """This process may run the key."""
+    """The result of a claim if this process may run the key."""
 
     name: str
 
 
 class NotClaimed(NamedTuple):
-    """This process must not run the key.
+    """The result of a claim if this process must not run the key.
 
     Attributes:
-        refusal: What to tell the caller.
-        holder: Who may run it, if that is known.
+        refusal: The refusal for the caller.
+        holder: The process that holds the claim, if it is known.
     """
 
     refusal: Refusal
@@ -62,10 +62,10 @@
 
 
 class Claims:
-    """The claims of this process.
+    """Makes and removes the claims of this process.
 
-    It only decides between processes. Inside this one, ``KeyStore.begin`` comes first and lets
-    one copy through at a time; call ``claim`` for that copy alone.
+    Claims decide between processes only. Within this process ``KeyStore.begin`` must be called
+    first, which admits one copy of a request at a time; call ``claim`` only for that copy.
     """
 
     def __init__(
@@ -78,16 +78,16 @@
         retention_s: float,
         max_held: int = 10_000,
     ) -> None:
-        """Make it without any claim.
+        """Initialise it without any claim.
 
         Args:
-            platform: Where claims are kept.
-            clock: Tells when a claim is old.
-            incarnation: This process.
-            address: Where this process listens, as ``ADDRESS:PORT``.
-            retention_s: How long a claim is kept, in seconds: at least two epochs, and longer than
-                any caller retries a key without a binding.
-            max_held: Claims held at most; beyond it new keys are refused.
+            platform: The store of claims.
+            clock: The clock by which claims expire.
+            incarnation: The incarnation of this process.
+            address: The address where this process listens, as ``ADDRESS:PORT``.
+            retention_s: The time that a claim is stored, in seconds: at least two epochs, and
+                longer than any caller retries a key without a binding.
+            max_held: The maximum number of claims; further keys are refused.
         """
         self._platform = platform
         self._clock = clock
@@ -98,11 +98,11 @@
 
     @property
     def held(self) -> int:
-        """Claims that this process has to remove some day."""
+        """The number of claims that this process has yet to remove."""
         return len(self._held)
 
     async def claim(self, key: RequestKey) -> Claimed | NotClaimed:
-        """Claim a key; the caller of this method dispatches only if it is ``Claimed``."""
+        """Claim a key; the request may be dispatched only if the result is ``Claimed``."""
         name = key.digest().hex()
         held = self._held.get(name)
         if held is not None:
@@ -121,17 +121,17 @@
                 case Err(PlatformUnavailable()):
                     return NotClaimed(_platform_unavailable(), None)
                 case Err(OutcomeUnknown()):
-                    # The claim may stand although its answer was lost; writing again without
-                    # looking could take it for somebody else's, and refuse our own key.
+                    # The claim may be stored although the answer was lost. A second write without
+                    # a read would conflict with it, and the conflict must not refuse the key.
                     settled = await self._read_back(name)
                     if settled is not None:
                         return settled
         return NotClaimed(_platform_unavailable(), None)
 
     async def release(self, key: RequestKey) -> None:
-        """Give a claim back after a proven ``not-run``, so that a later copy may run anywhere.
+        """Release a claim after a proven ``not-run``, so that a later copy may run anywhere.
 
-        Best effort: if the claim stays, it still names this process, which may claim it again.
+        This is best effort: a claim that is not removed names this process, which may reuse it.
         """
         name = key.digest().hex()
         held = self._held.get(name)
@@ -140,7 +140,7 @@
             await self._remove(name, held)
 
     async def remove_expired(self) -> int:
-        """Remove the claims that were kept long enough; returns how many were removed."""
+        """Remove the expired claims; return how many were removed."""
         claimed_before = self._clock.monotonic() - self._retention_s
         expired = [
             (name, held) for name, held in self._held.items() if held.claimed_at <= claimed_before
@@ -151,9 +151,9 @@
         return removed
 
     def _reuse_claim(self, name: str, held: _Held) -> Claimed | NotClaimed:
-        # The claim outlives the key store's two epochs. A late copy, unknown to the key store by
-        # then, would find the claim naming this process; taking that for leave to run would run
-        # the request twice.
+        # The claim outlives the two epochs of the key store. A delayed copy, which the key store
+        # has discarded by then, finds a claim by this process; if that permitted it to run, the
+        # request would run twice.
         if held.used:
             return NotClaimed(_already_used(), self._value)
         self._held[name] = held._replace(used=True)
@@ -163,12 +163,12 @@
         result = await self._platform.delete(kind=CLAIM_KIND, name=name, if_version=held.version)
         if isinstance(result, Err) and not isinstance(result.err_value, Conflict):
             return False
-        # A conflict means that an earlier deletion took effect and only its answer was lost.
+        # A conflict means that an earlier deletion succeeded and its answer was lost.
         self._held.pop(name, None)
         return True
 
     async def _read_back(self, name: str) -> Claimed | NotClaimed | None:
-        """Return how the claim stands; None if it does not stand (yet), or was not readable."""
+        """Return the result by the stored claim; None if none is stored yet or it is unreadable."""
         match await self._platform.get(kind=CLAIM_KIND, name=name):
             case Ok(StoredObject() as stored):
                 return self._resolve(stored)
@@ -193,7 +193,7 @@
         HTTPStatus.SERVICE_UNAVAILABLE,
         RefusalCode.PLATFORM_UNAVAILABLE,
         "a key without a binding has to be claimed in the platform, which does not answer; "
-        "send the binding of a lookup's entry with the key, or come back later",
+        "send the key with the binding from a lookup, or retry later",
         CLAIM_RETRY_AFTER_S,
     )
 
@@ -202,8 +202,8 @@
     return refuse(
         HTTPStatus.SERVICE_UNAVAILABLE,
         RefusalCode.KEY_MEMORY_FULL,
-        f"this entry holds {max_held} claims of keys without a binding and takes no more; "
-        "send the binding of a lookup's entry with the key, or use another entry",
+        f"this entry holds {max_held} claims of keys without a binding, the maximum; "
+        "send the key with the binding from a lookup, or use another entry",
         CLAIM_RETRY_AFTER_S,
     )
 
@@ -212,7 +212,7 @@
     return Refusal(
         HTTPStatus.CONFLICT,
         RefusalCode.OUTCOME_UNKNOWN,
-        "the key was run here, and its outcome is no longer remembered; read the outcome from "
+        "the request was dispatched here and its outcome is not remembered; read the outcome from "
         "the service",
         Verdict.MAY_HAVE_RUN,
         DUPLICATE_RETRY_AFTER_S,
@@ -223,7 +223,7 @@
     return Refusal(
         HTTPStatus.CONFLICT,
         RefusalCode.KEY_CLAIMED_ELSEWHERE,
-        f"the key is claimed by {holder['address']}, which alone may run it; repeat it there",
+        f"the key is claimed by {holder['address']}, the only entry that may run it; retry there",
         Verdict.MAY_HAVE_RUN,
         DUPLICATE_RETRY_AFTER_S,
     )
--- a/src/wagtailpoint/idempotency/keys.py
+++ b/src/wagtailpoint/idempotency/keys.py
@@ -1,8 +1,8 @@
-"""The memory of keys that makes a non-idempotent request run at most once.
+"""Store of idempotency keys that makes a non-idempotent request run at most once.
 
-The rule behind it: every key that was begun under a binding is remembered for as long as that
-binding's epoch is accepted. So an unknown key under an accepted epoch has never run, whatever the
-clock did; the clock only bounds the memory.
+Every key that was begun under a binding is remembered as long as the epoch of that binding is
+accepted. So an unknown key under an accepted epoch has never run, regardless of the clock, which
+only bounds the memory.
 """
 
 from collections import OrderedDict
@@ -29,13 +29,13 @@
 
 
 class RequestKey(NamedTuple):
-    """A caller's key. Two workspaces may choose the same key."""
+    """The idempotency key of a request. Two workspaces may use the same key."""
 
     workspace: str
     key: str
 
     def digest(self) -> bytes:
-        """Return a name of fixed length, so that a long key costs no more memory."""
+        """Return a digest of fixed length, so that a long key takes no more memory."""
         text = f"{self.workspace}\n{self.key}".encode()
         return blake2b(text, digest_size=_DIGEST_BYTES).digest()
 
@@ -52,51 +52,51 @@
 
     @property
     def fingerprint(self) -> str:
-        """What the key stands for."""
+        """The fingerprint of the request that the key identifies."""
         return self._fingerprint
 
     @property
     def binding(self) -> Binding:
-        """What it runs under."""
+        """The binding under which the attempt runs."""
         return self._binding
 
     @property
     def bound(self) -> bool:
-        """Whether the caller gave the binding."""
+        """Whether the caller sent the binding."""
         return self._bound
 
     async def wait(self) -> Outcome:
-        """Wait until the attempt has finished. The waiting caller brings its own deadline."""
+        """Wait until the attempt has finished; the caller must apply a deadline."""
         await self._finished.wait()
         assert self._outcome is not None
         return self._outcome
 
     def settle(self, outcome: Outcome) -> None:
-        """Wake all who wait."""
+        """Set the outcome and wake all waiting tasks."""
         self._outcome = outcome
         self._finished.set()
 
 
 class Run(NamedTuple):
-    """The first attempt: dispatch it, and call ``finish`` whatever happens."""
+    """The result for a first attempt: dispatch it and call ``finish`` in every case."""
 
     binding: Binding
 
 
 class Join(NamedTuple):
-    """Another copy is running: wait for its outcome."""
+    """The result if another copy is in flight: wait for its outcome."""
 
     attempt: InFlight
 
 
 class Replay(NamedTuple):
-    """It ran before: repeat its answer."""
+    """The result if the request ran before: send the stored answer."""
 
     answer: Answered
 
 
 class Reject(NamedTuple):
-    """It must not run; ``refusal.code`` says why."""
+    """The result if the request must not run; ``refusal.code`` is the reason."""
 
     refusal: Refusal
 
@@ -111,11 +111,11 @@
 
 
 class KeyStore:
-    """Remembers every key of the current and the previous epoch, and all in flight.
+    """Remembers all keys of the current and the previous epoch, and all keys in flight.
 
-    Every ``not-run`` for a bound key must come from here (from ``begin``, or passed to
-    ``finish``): a refusal that is not remembered lets a late copy of the request run after the
-    caller, trusting the refusal, has sent it elsewhere.
+    Every ``not-run`` for a bound key must be returned by ``begin`` or passed to ``finish``. If a
+    refusal is not remembered, a delayed copy of the request may run after the caller, relying on
+    the refusal, has sent the request to another entry.
     """
 
     def __init__(
@@ -128,16 +128,16 @@
         max_answer_bytes: int,
         max_kept_bytes: int = 16_000_000,
     ) -> None:
-        """Make an empty memory.
+        """Initialise an empty store.
 
         Args:
-            incarnation: This process.
-            clock: Advances the epochs.
-            epoch_s: The length of an epoch, in seconds; longer than any caller caches a lookup.
-            max_keys: Keys remembered at most, those in flight included.
-            max_answer_bytes: The largest body that is kept for a repeat.
-            max_kept_bytes: All kept bodies together; beyond it the oldest are dropped and their
-                repeats are told ``ran`` without the answer.
+            incarnation: The incarnation of this process.
+            clock: The clock that advances the epochs.
+            epoch_s: The length of an epoch in seconds; longer than any caller caches a lookup.
+            max_keys: The maximum number of remembered keys, those in flight included.
+            max_answer_bytes: The maximum size of a body that is kept for later copies.
+            max_kept_bytes: The maximum size of all kept bodies; beyond it the oldest are discarded,
+                and later copies are answered ``ran`` without the body.
         """
         self._incarnation = incarnation
         self._clock = clock
@@ -156,47 +156,47 @@
 
     @property
     def binding(self) -> Binding:
-        """The binding that lookups give out now."""
+        """The binding of the current epoch, which lookups return."""
         self._advance()
         return Binding(self._incarnation, self._epoch)
 
     @property
     def size(self) -> int:
-        """Keys remembered, those in flight included."""
+        """The number of remembered keys, those in flight included."""
         return len(self._in_flight) + len(self._current) + len(self._previous)
 
     @property
     def accepts_new_keys(self) -> bool:
-        """False while the memory is full: lookups should prefer other entries."""
+        """Whether unknown keys are accepted; if not, lookups should prefer other entries."""
         self._advance()
         return self._sealed_through < self._epoch
 
     def in_flight(self, key: RequestKey) -> InFlight | None:
-        """The attempt of a key that has begun and not finished."""
+        """Return the attempt of a key that is in flight; None if there is none."""
         return self._in_flight.get(key.digest())
 
     def outcome(self, key: RequestKey) -> Outcome | None:
-        """How a key ended; None if it is in flight or not remembered."""
+        """Return the outcome of a key; None if it is in flight or not remembered."""
         self._advance()
         record = self._record(key.digest())
         return record.outcome if record is not None else None
 
     def begin(self, key: RequestKey, fingerprint: str, binding: Binding | None) -> BeginResult:
-        """Decide what happens to one copy of a keyed request.
+        """Begin an attempt for one copy of a keyed request, or return why it must not run.
 
         Args:
-            key: The caller's key.
-            fingerprint: Of the whole request, see ``wagtailpoint.fingerprint``.
-            binding: As the caller sent it; None means that the caller of this method claims the
-                key in the platform (see ``claims``) before it dispatches.
+            key: The key of the request.
+            fingerprint: The fingerprint of the whole request, see ``wagtailpoint.fingerprint``.
+            binding: The binding that the caller sent. If it is None, the key must be claimed in the
+                platform (see ``claims``) before the request is dispatched.
         """
         self._advance()
         if binding is not None and binding.incarnation != self._incarnation:
             return Reject(_other_incarnation(binding, self._incarnation))
         effective = binding or Binding(self._incarnation, self._epoch)
         digest = key.digest()
-        # A known key goes before the epoch: a request that is in flight for longer than two epochs
-        # must still be joined by its repeats, although their binding is old by now.
+        # Known keys are checked before the epoch: later copies of a request that is in flight for
+        # longer than two epochs must still join it, although their binding is stale.
         in_flight = self._in_flight.get(digest)
         if in_flight is not None:
             if in_flight.fingerprint != fingerprint:
@@ -217,7 +217,7 @@
         return Run(effective)
 
     def finish(self, key: RequestKey, outcome: Outcome) -> None:
-        """Remember how the attempt begun under a key ended, and wake the copies that joined it.
+        """Record the outcome of a key in flight, and wake the copies that joined it.
 
         Raises:
             KeyError: The key is not in flight.
@@ -226,21 +226,21 @@
         digest = key.digest()
         attempt = self._in_flight.pop(digest)
         limited = self._limit_answer(outcome)
-        # A copy without a binding is arbitrated by its claim in the platform, not by this memory,
-        # and its `not-run` speaks for that copy only.
+        # A copy without a binding is decided on by its claim in the platform, not by this store,
+        # and its `not-run` holds for that copy only.
         if attempt.bound or not isinstance(limited, NotRun):
             self._current[digest] = _Record(attempt.fingerprint, attempt.binding.attempt, limited)
             self._record_answer_size(digest, limited)
         attempt.settle(outcome)
 
     def forbid(self, key: RequestKey, binding: Binding) -> Outcome | None:
-        """Make sure that a key never runs here, for a peer that was sent a copy of it.
+        """Forbid a key for a peer that received a copy of the request.
 
-        To answer "I don't know it" would prove nothing: a copy may arrive a moment later.
+        A reply that the key is unknown would prove nothing, since a copy may still arrive.
 
         Returns:
-            How it ended, ``NotRun`` if it is now forbidden; None if it is in flight, or if the
-            answer is not known because the binding's epoch is no longer remembered.
+            The outcome of the key, which is ``NotRun`` if it is forbidden now; None if it is in
+            flight, or unknown because the epoch of the binding is not remembered.
         """
         if binding.incarnation != self._incarnation:
             return None
@@ -259,7 +259,7 @@
     def _begin_known(
         self, key: RequestKey, fingerprint: str, effective: Binding, record: _Record
     ) -> BeginResult | None:
-        """Answer a finished key, or return None if a new attempt may run."""
+        """Return the result for a finished key, or None if a new attempt may run."""
         refused = isinstance(record.outcome, NotRun)
         if refused and effective.attempt > record.attempt:
             return None
@@ -274,17 +274,18 @@
         if effective.epoch < self._epoch - 1:
             return _stale_epoch(effective, self._epoch)
         if is_new and self.size >= self._max_keys:
-            # This refusal has no room to be remembered. Without the seal, a late copy could run
-            # once there is room again, after its caller went elsewhere; the seal makes all
-            # unknown keys of all bindings given out so far unable to run, for good.
+            # A full store cannot remember this refusal. A delayed copy could run once there is
+            # room again, after its caller has gone to another entry. So all epochs so far are
+            # sealed: no unknown key under any binding issued in them can ever run.
             self._sealed_through = self._epoch
         if effective.epoch <= self._sealed_through:
             return _memory_full(self._max_keys, self._epoch_remaining_s())
         return None
 
     def _advance(self) -> None:
-        # In the same step as the decision, so that a process waking from a freeze refuses the old
-        # requests that waited in its sockets instead of running them long after their time.
+        # The epoch advances in the same step as the decision, not in a timer task: a process that
+        # resumes after a freeze must refuse the stale requests in its sockets instead of running
+        # them long after their callers gave up.
         passed = int((self._clock.monotonic() - self._epoch_began) // self._epoch_s)
         if passed < 1:
             return
@@ -334,9 +335,9 @@
     return Refusal(
         HTTPStatus.UNPROCESSABLE_ENTITY,
         RefusalCode.KEY_REUSED,
-        f"the key {key.key[:80]!r} already stands for another request of workspace "
+        f"the key {key.key[:80]!r} was already used for another request of workspace "
         f"{key.workspace}; use a new key for each request",
-        # The new request did not run, but the key's verdict is what the caller acts upon.
+        # The new request did not run, but the caller acts on the verdict of the key.
         Verdict.MAY_HAVE_RUN,
         DUPLICATE_RETRY_AFTER_S,
     )
@@ -346,7 +347,8 @@
     return Refusal(
         HTTPStatus.CONFLICT,
         RefusalCode.OTHER_INCARNATION,
-        f"the key is bound to {binding.incarnation}, this entry is {own}; it never runs here",
+        f"the key is bound to incarnation {binding.incarnation}, given to incarnation {own}, "
+        "which never runs it",
         Verdict.MAY_HAVE_RUN,
         DUPLICATE_RETRY_AFTER_S,
     )
@@ -356,7 +358,7 @@
     return Refusal(
         HTTPStatus.CONFLICT,
         RefusalCode.STALE_EPOCH,
-        f"the binding is of epoch {binding.epoch}, epochs from {epoch - 1} on are accepted; "
+        f"the binding is of epoch {binding.epoch}, expected epoch {epoch - 1} or later; "
         "look up again before the first attempt of a request",
         Verdict.MAY_HAVE_RUN,
         DUPLICATE_RETRY_AFTER_S,
@@ -367,9 +369,9 @@
     return Refusal(
         HTTPStatus.BAD_REQUEST,
         RefusalCode.BAD_BINDING,
-        f"the binding is of epoch {binding.epoch}, the newest is {epoch}; use the binding "
-        "as the lookup gave it",
-        # Not `not-run`: a late copy would find the epoch begun.
+        f"the binding is of epoch {binding.epoch}, but the newest is {epoch}; use the binding "
+        "that the lookup returned",
+        # The verdict is not `not-run`: a delayed copy could arrive after that epoch has begun.
         Verdict.MAY_HAVE_RUN,
         DUPLICATE_RETRY_AFTER_S,
     )
@@ -379,7 +381,7 @@
     return refuse(
         HTTPStatus.SERVICE_UNAVAILABLE,
         RefusalCode.KEY_MEMORY_FULL,
-        f"this entry remembers {max_keys} keys and can take no more; use another entry",
+        f"this entry remembers {max_keys} keys, the maximum; use another entry",
         retry_after_s,
     )
 
@@ -388,6 +390,6 @@
     return refuse(
         HTTPStatus.CONFLICT,
         RefusalCode.KEY_REFUSED,
-        "another entry asked for this key and had it refused here",
+        "another entry received this key and had it forbidden here",
         retry_after_s,
     )
--- a/src/wagtailpoint/idempotency/outcome.py
+++ b/src/wagtailpoint/idempotency/outcome.py
@@ -1,4 +1,4 @@
-"""How a keyed request ended, and what a repeat of its key is told."""
+"""Outcomes of keyed requests, and the replies to later copies of them."""
 
 from functools import singledispatch
 from http import HTTPStatus
@@ -9,15 +9,15 @@
 from wagtailpoint.verdict import Verdict
 
 DUPLICATE_RETRY_AFTER_S = 1.0
-"""When the caller of a copy that must not run may ask again, in seconds."""
+"""Hint to the caller of a copy that must not run when to retry, in seconds."""
 
 
 class Answered(NamedTuple):
-    """The backend server answered.
+    """The outcome of a request that the backend server answered.
 
     Attributes:
-        status: HTTP status.
-        headers: End-to-end headers.
+        status: The HTTP status.
+        headers: The end-to-end headers.
         body: The whole body, or None if it is too large to be kept.
     """
 
@@ -27,13 +27,13 @@
 
 
 class MayHaveRun(NamedTuple):
-    """The request left, and no whole answer came back."""
+    """The outcome of a request that was sent without a complete answer."""
 
     reason: str
 
 
 class NotRun(NamedTuple):
-    """The request certainly did not run; the refusal is what its caller was told."""
+    """The outcome of a request that certainly did not run, with the refusal sent to its caller."""
 
     refusal: Refusal
 
@@ -43,8 +43,8 @@
 
 @singledispatch
 def replay_outcome(outcome: Outcome) -> Answered | Refusal:
-    """Return what a repeat of a finished key is answered."""
-    raise TypeError(f"no rule for a repeat of {outcome!r}")
+    """Return the reply to a copy of a request that has finished with ``outcome``."""
+    raise TypeError(f"given outcome {outcome!r}, expected Answered, MayHaveRun or NotRun")
 
 
 @replay_outcome.register
@@ -54,8 +54,8 @@
     return Refusal(
         HTTPStatus.CONFLICT,
         RefusalCode.ANSWER_NOT_KEPT,
-        f"the request ran and was answered with status {outcome.status}; its answer is no longer "
-        "kept here; read the outcome from the service",
+        f"the request ran and was answered with status {outcome.status}; its answer is not kept "
+        "here; read the outcome from the service",
         Verdict.RAN,
         DUPLICATE_RETRY_AFTER_S,
     )
@@ -78,5 +78,5 @@
     return refused._replace(
         code=RefusalCode.KEY_REFUSED,
         reason=f"this attempt was refused before ({refused.code.value}) and never runs; "
-        "raise the binding's attempt to try again",
+        "increment the attempt of the binding to retry",
     )
--- a/tests/cover/test_claims.py
+++ b/tests/cover/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims of keys without a binding."""
+"""Claims in the platform for keys without a binding."""
 
 import unittest
 
@@ -12,23 +12,23 @@
 from wagtailpoint.verdict import Verdict
 
 KEY = RequestKey("surakkha", "release-1")
-KEEP_S = 600.0
+RETENTION_S = 600.0
 
 
 class ClaimsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.platform = FakePlatform()
         self.clock = FakeClock()
-        self.one = self.claims("a" * 16)
-        self.two = self.claims("b" * 16)
+        self.first = self.make_claims("a" * 16)
+        self.second = self.make_claims("b" * 16)
 
-    def claims(self, incarnation: str) -> Claims:
+    def make_claims(self, incarnation: str) -> Claims:
         return Claims(
             platform=self.platform,
             clock=self.clock,
             incarnation=incarnation,
             address="127.0.0.1:7180",
-            retention_s=KEEP_S,
+            retention_s=RETENTION_S,
         )
 
     def claim(self, claims: Claims) -> Claimed | NotClaimed:
@@ -39,58 +39,58 @@
         assert isinstance(claimed, NotClaimed), claimed
         self.assertEqual((claimed.refusal.code, claimed.refusal.verdict), (code, verdict))
 
-    def test_one_of_two(self) -> None:
-        self.assertIsInstance(self.claim(self.one), Claimed)
+    def test_only_one_of_two_processes_gets_the_claim(self) -> None:
+        self.assertIsInstance(self.claim(self.first), Claimed)
         elsewhere = RefusalCode.KEY_CLAIMED_ELSEWHERE
-        self.check_refused(self.two, elsewhere, Verdict.MAY_HAVE_RUN)
+        self.check_refused(self.second, elsewhere, Verdict.MAY_HAVE_RUN)
 
-    def test_lost_answer_is_settled_by_reading_back(self) -> None:
-        """A key is refused by the entry that holds its claim, and so can run nowhere.
+    def test_claim_is_read_back_if_its_answer_is_lost(self) -> None:
+        """Guards against a key that no entry runs because the holder of its claim refuses it.
 
-        The claim lands and its answer is lost; written again, it conflicts with itself.
+        The claim is stored and its answer is lost; a second write conflicts with the first.
         """
         self.platform.lose_answers = 1
-        self.assertIsInstance(self.claim(self.one), Claimed)
+        self.assertIsInstance(self.claim(self.first), Claimed)
 
-    def test_lost_request_is_written_again(self) -> None:
+    def test_claim_is_written_again_if_its_request_is_lost(self) -> None:
         self.platform.lose_requests = 1
-        self.assertIsInstance(self.claim(self.one), Claimed)
+        self.assertIsInstance(self.claim(self.first), Claimed)
 
-    def test_platform_out(self) -> None:
+    def test_key_is_refused_while_the_platform_is_unavailable(self) -> None:
         self.platform.down = True
-        out = RefusalCode.PLATFORM_UNAVAILABLE
-        self.check_refused(self.one, out, Verdict.NOT_RUN)
+        unavailable = RefusalCode.PLATFORM_UNAVAILABLE
+        self.check_refused(self.first, unavailable, Verdict.NOT_RUN)
         self.platform.down = False
-        self.assertIsInstance(self.claim(self.one), Claimed)
+        self.assertIsInstance(self.claim(self.first), Claimed)
 
-    def test_claim_outlives_the_memory_of_keys(self) -> None:
-        """A release is paid twice by its claimer.
+    def test_claim_permits_one_run_only(self) -> None:
+        """Guards against a process that runs the request of its claim twice.
 
-        Two epochs after it ran, a late copy is unknown to the key store, and the claim in the
-        platform names this very process. Cause: that was taken for leave to run.
+        Two epochs after the run, a delayed copy is unknown to the key store, and the claim in the
+        platform names this process, which must not count as a permission to run.
         """
-        self.claim(self.one)
-        self.check_refused(self.one, RefusalCode.OUTCOME_UNKNOWN, Verdict.MAY_HAVE_RUN)
+        self.claim(self.first)
+        self.check_refused(self.first, RefusalCode.OUTCOME_UNKNOWN, Verdict.MAY_HAVE_RUN)
 
-    def test_released_after_not_run(self) -> None:
-        self.claim(self.one)
-        trio.run(self.one.release, KEY)
-        self.assertIsInstance(self.claim(self.two), Claimed)
+    def test_released_claim_can_be_claimed_by_another_process(self) -> None:
+        self.claim(self.first)
+        trio.run(self.first.release, KEY)
+        self.assertIsInstance(self.claim(self.second), Claimed)
 
-    def test_release_that_failed_leaves_the_key_to_its_claimer(self) -> None:
-        self.claim(self.one)
+    def test_failed_release_leaves_the_key_to_its_holder(self) -> None:
+        self.claim(self.first)
         self.platform.down = True
-        trio.run(self.one.release, KEY)
+        trio.run(self.first.release, KEY)
         self.platform.down = False
-        self.check_refused(self.two, RefusalCode.KEY_CLAIMED_ELSEWHERE, Verdict.MAY_HAVE_RUN)
-        self.assertIsInstance(self.claim(self.one), Claimed)
+        self.check_refused(self.second, RefusalCode.KEY_CLAIMED_ELSEWHERE, Verdict.MAY_HAVE_RUN)
+        self.assertIsInstance(self.claim(self.first), Claimed)
 
-    def test_old_claims_are_removed_also_when_the_answer_is_lost(self) -> None:
-        self.claim(self.one)
-        self.assertEqual(trio.run(self.one.remove_expired), 0)
-        self.clock.now += KEEP_S
+    def test_expired_claims_are_removed_even_if_an_answer_is_lost(self) -> None:
+        self.claim(self.first)
+        self.assertEqual(trio.run(self.first.remove_expired), 0)
+        self.clock.now += RETENTION_S
         self.platform.lose_answers = 1
-        self.assertEqual(trio.run(self.one.remove_expired), 0)
-        self.assertEqual(trio.run(self.one.remove_expired), 1)
-        self.assertEqual(self.one.held, 0)
+        self.assertEqual(trio.run(self.first.remove_expired), 0)
+        self.assertEqual(trio.run(self.first.remove_expired), 1)
+        self.assertEqual(self.first.held, 0)
         self.assertEqual(list(self.platform.store.list(CLAIM_KIND)), [])
--- a/tests/cover/test_key_store.py
+++ b/tests/cover/test_key_store.py
@@ -1,4 +1,4 @@
-"""The memory of keys, one story at a time; tests/nocover has the model of all schedules."""
+"""Single sequences of the key store; tests/nocover/test_at_most_once.py has the model test."""
 
 import unittest
 from http import HTTPStatus
@@ -50,7 +50,7 @@
         assert isinstance(begun, Reject), begun
         self.assertEqual((begun.refusal.code, begun.refusal.verdict), (code, verdict))
 
-    def test_runs_once_joins_then_repeats_the_answer(self) -> None:
+    def test_runs_once_then_joins_then_replays_the_answer(self) -> None:
         binding = self.store.binding
         self.assertIsInstance(self.begin(binding), Run)
         joined = self.begin(binding)
@@ -59,7 +59,7 @@
         self.assertEqual(trio.run(joined.attempt.wait), ANSWER)
         self.assertEqual(self.begin(binding), Replay(ANSWER))
 
-    def test_other_request_under_the_key(self) -> None:
+    def test_key_used_for_another_request_is_rejected(self) -> None:
         self.begin(self.store.binding)
         begun = self.store.begin(KEY, "other", self.store.binding)
         self.check_rejected(begun, RefusalCode.KEY_REUSED, Verdict.MAY_HAVE_RUN)
@@ -69,12 +69,12 @@
         other = RequestKey("heather", KEY.key)
         self.assertIsInstance(self.begin(self.store.binding, other), Run)
 
-    def test_late_copy_of_a_refused_attempt(self) -> None:
-        """A release is paid twice.
+    def test_delayed_copy_of_a_refused_attempt_is_rejected(self) -> None:
+        """Guards against a second run after a refusal that was not remembered.
 
-        A copy is held up on the way; its repeat is refused `not-run`; the caller binds the request
-        to another entry, where it runs; then the first copy arrives. Cause: the refusal was not
-        remembered. The next attempt, which names its number, may run here.
+        A copy is delayed; its retry is refused `not-run`; the caller binds the request to another
+        entry, where it runs; then the first copy arrives. The next attempt, which has a higher
+        number, may run here.
         """
         binding = self.store.binding
         self.begin(binding)
@@ -84,12 +84,12 @@
         self.store.finish(KEY, SHED)
         self.check_rejected(self.begin(binding), RefusalCode.KEY_REFUSED, Verdict.NOT_RUN)
 
-    def test_refusal_for_want_of_memory_holds_when_there_is_room_again(self) -> None:
-        """A release is paid twice, after a full memory.
+    def test_refusal_by_a_full_store_holds_after_there_is_room_again(self) -> None:
+        """Guards against a second run after a refusal that a full store could not remember.
 
-        With the memory full, a copy is refused `not-run` and its caller goes elsewhere. An epoch
-        later there is room, and an earlier copy of the same key arrives under a binding that is
-        still accepted. Cause: a full memory has no room to remember that refusal.
+        While the store is full, a copy is refused `not-run` and its caller goes to another entry.
+        An epoch later there is room, and an earlier copy of the same key arrives under a binding
+        that is still accepted.
         """
         for number in range(3):
             key = RequestKey("surakkha", str(number))
@@ -104,11 +104,11 @@
         self.check_rejected(self.begin(binding), full, Verdict.NOT_RUN)
         self.assertIsInstance(self.begin(self.store.binding), Run)
 
-    def test_in_flight_for_longer_than_two_epochs(self) -> None:
-        """A repeat of a long request is refused as stale although the first copy still runs.
+    def test_copy_joins_a_request_in_flight_for_more_than_two_epochs(self) -> None:
+        """Guards against refusing a copy as stale while the first copy is still in flight.
 
-        Cause: the epoch was checked before the key. Its end must be remembered from its end on,
-        not from its beginning.
+        That happens if the epoch is checked before the key. The outcome must be remembered for two
+        epochs after the end of the request, not after its beginning.
         """
         binding = self.store.binding
         self.begin(binding)
@@ -118,31 +118,31 @@
         self.clock.now += EPOCH_S
         self.assertEqual(self.begin(binding), Replay(ANSWER))
 
-    def test_process_frozen_for_two_epochs(self) -> None:
-        """A release runs minutes after its caller gave up.
+    def test_requests_received_before_a_freeze_of_two_epochs_are_stale(self) -> None:
+        """Guards against running a request minutes after its caller gave up.
 
-        The process is frozen with a request unread in its socket and wakes two epochs later.
-        Cause: the epoch was advanced by a timer task, which runs after the request.
+        The process is frozen with an unread request in its socket and resumes two epochs later. If
+        a timer task advances the epoch, it may run after the request was accepted.
         """
         binding = self.store.binding
         self.clock.now += 2 * EPOCH_S
         self.check_rejected(self.begin(binding), RefusalCode.STALE_EPOCH, Verdict.MAY_HAVE_RUN)
 
-    def test_restarted_process(self) -> None:
+    def test_binding_of_an_earlier_process_is_rejected(self) -> None:
         begun = self.begin(Binding("0123456789abcdef", 1))
         self.check_rejected(begun, RefusalCode.OTHER_INCARNATION, Verdict.MAY_HAVE_RUN)
 
-    def test_binding_of_the_future(self) -> None:
+    def test_binding_of_a_future_epoch_is_rejected(self) -> None:
         begun = self.begin(Binding(OWN, 2))
         self.check_rejected(begun, RefusalCode.BAD_BINDING, Verdict.MAY_HAVE_RUN)
 
-    def test_answer_that_is_too_large(self) -> None:
+    def test_too_large_answer_is_not_kept(self) -> None:
         self.begin(self.store.binding)
         self.store.finish(KEY, ANSWER._replace(body=b"x" * 11))
         begun = self.begin(self.store.binding)
         self.check_rejected(begun, RefusalCode.ANSWER_NOT_KEPT, Verdict.RAN)
 
-    def test_oldest_answers_go_first_and_are_still_known_to_have_run(self) -> None:
+    def test_oldest_answers_are_discarded_first_and_their_keys_stay_known(self) -> None:
         keys = [RequestKey("surakkha", str(number)) for number in range(3)]
         for key in keys:
             self.begin(self.store.binding, key)
@@ -151,13 +151,13 @@
         self.check_rejected(begun, RefusalCode.ANSWER_NOT_KEPT, Verdict.RAN)
         self.assertEqual(self.begin(self.store.binding, keys[2]), Replay(ANSWER))
 
-    def test_forbidden_by_a_peer(self) -> None:
+    def test_forbidden_key_never_runs(self) -> None:
         binding = self.store.binding
         self.assertIsInstance(self.store.forbid(KEY, binding), NotRun)
         self.check_rejected(self.begin(binding), RefusalCode.KEY_REFUSED, Verdict.NOT_RUN)
         self.assertIsNone(self.store.forbid(KEY, Binding("0123456789abcdef", 1)))
 
-    def test_forbidden_too_late(self) -> None:
+    def test_key_in_flight_cannot_be_forbidden(self) -> None:
         binding = self.store.binding
         self.begin(binding)
         self.assertIsNone(self.store.forbid(KEY, binding))
--- a/tests/integration/test_at_most_once.py
+++ b/tests/integration/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""A keyed request runs at most once, whatever fails: real entries, backend servers, platform."""
+"""At-most-once execution of keyed requests under faults, with processes of all components."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -21,14 +21,14 @@
 
 
 class KeyedFaults(DeploymentCase):
-    """What the tests below share: many keys at one entry, and their repeats elsewhere."""
+    """Base of the tests: sends copies of many keys to one entry and to others."""
 
     BACKEND_OPTIONS = ("--service-ms", "150")
 
     async def send_all(
         self, place: Place, keys: Sequence[str], binding: str | None
     ) -> dict[str, Heard]:
-        """Send one copy of each key at the same time."""
+        """Send one copy of each key concurrently; return the answers by key."""
         heard: dict[str, Heard] = {}
 
         async def send(key: str) -> None:
@@ -40,7 +40,7 @@
         return heard
 
     async def in_flight(self, entry: int, least: int) -> None:
-        """Wait until so many requests are on their way through an entry."""
+        """Wait until at least ``least`` requests are in flight through an entry."""
         while True:
             page = await in_thread(self.running.entries[entry].page, "status")
             if page["requests"]["slots_held"] >= least:
@@ -49,7 +49,7 @@
 
 
 def count(heard: dict[str, Heard]) -> Counter[str]:
-    """How often each verdict was told."""
+    """Return how often each verdict was received."""
     return Counter(answer.verdict.value for answer in heard.values())
 
 
@@ -58,11 +58,11 @@
         super().setUp()
         self.proxy_place = (fresh_address(), PROXY_PORT)
 
-    def test_answer_cut_between_entry_and_caller_is_learnt_at_another_entry(self) -> None:
-        """Symptom: a caller whose connection broke sends its release again, and it is paid twice.
+    def test_another_entry_gets_the_outcome_if_the_answer_was_cut(self) -> None:
+        """Guards against a second run for a caller whose connection broke.
 
-        Sequence: the entry answers, the link to the caller is cut; the caller sends the same key
-        and binding to two other entries. Cause: only the bound entry knows that the key ran.
+        The entry answers while the link to the caller is cut. The caller sends the same key and
+        binding to two other entries, but only the bound entry knows that the key ran.
         """
 
         async def test() -> None:
@@ -82,11 +82,11 @@
 
         self.run_trio(test)
 
-    def test_repeat_elsewhere_while_the_first_copy_is_in_flight(self) -> None:
-        """Symptom: a caller that repeats quickly is told ``may-have-run`` for nothing.
+    def test_copy_at_another_entry_waits_for_the_first_copy_in_flight(self) -> None:
+        """Guards against a needless ``may-have-run`` for a caller that retries early.
 
-        Sequence: the copy at the bound entry is being run; the caller, impatient, sends another
-        one to another entry. Cause: the other entry asked how the key ended, and it had not.
+        While the copy at the bound entry is in flight, the caller sends another copy to another
+        entry, which has to wait for the outcome instead of reporting it as unknown.
         """
 
         async def test() -> None:
@@ -103,12 +103,12 @@
 
 
 class KilledEntryTest(KeyedFaults):
-    def test_entry_killed_with_requests_in_flight_and_replaced(self) -> None:
-        """Symptom: a release is paid twice when an entry dies.
+    def test_killed_entry_with_requests_in_flight_is_replaced(self) -> None:
+        """Guards against a second run after an entry is killed.
 
-        Sequence: the entry has sent the requests on and is killed before it answers; a new process
-        takes its address; the callers repeat there and elsewhere. Cause: nobody remembers the keys
-        any more, so nobody may run them.
+        The entry has forwarded the requests and is killed before it answers. A new process takes
+        its address, and the callers retry there and at another entry. No process remembers the
+        keys, so none may run them.
         """
 
         async def test() -> None:
@@ -127,11 +127,11 @@
 
         self.run_trio(test)
 
-    def test_caller_of_a_killed_entry_that_was_never_reached_goes_elsewhere(self) -> None:
-        """Symptom: a release is refused as ``may-have-run`` although nothing was sent.
+    def test_caller_that_cannot_connect_to_a_killed_entry_may_use_another(self) -> None:
+        """Guards against ``may-have-run`` for a request that was never sent.
 
-        Sequence: the entry dies; a caller that still holds its binding cannot connect, and binds
-        the key to another entry. Cause: none; a connection refused proves that nothing was sent.
+        The entry is killed; a caller that still holds its binding cannot connect, and binds the key
+        to another entry. A refused connection proves that nothing was sent.
         """
 
         async def test() -> None:
@@ -151,12 +151,12 @@
 class FrozenEntryTest(KeyedFaults):
     TIMINGS = {"epoch_s": 1.0}
 
-    def test_frozen_across_epochs_and_thawed_twice(self) -> None:
-        """Symptom: a release that its caller had given up is paid minutes later, a second time.
+    def test_stale_copies_are_refused_after_each_of_two_freezes(self) -> None:
+        """Guards against running requests long after their callers gave up.
 
-        Sequence: the entry is frozen; copies wait in its sockets; their callers give up; it thaws
-        after its bindings have expired, and is frozen and thawed again. Cause: the waiting copies
-        look new to a process whose time stood still.
+        Copies wait in the sockets of a frozen entry, and their callers give up. The entry resumes
+        after its bindings have expired, and is frozen and resumed again. The waiting copies must
+        not look new to a process that did not observe the time.
         """
 
         async def test() -> None:
@@ -184,11 +184,11 @@
     def tearDown(self) -> None:
         self.set_backends()
 
-    def test_backend_server_that_ran_and_then_reset(self) -> None:
-        """Symptom: the entry retries a release on another backend server, and it is paid twice.
+    def test_reset_by_a_backend_server_after_the_run_is_not_retried(self) -> None:
+        """Guards against a retry at another backend server that runs a request twice.
 
-        Sequence: the backend server runs the request and resets the connection. Cause: a reset
-        does not tell whether the request ran.
+        The backend server runs the request and resets the connection; a reset does not show whether
+        the request ran.
         """
 
         async def test() -> None:
@@ -202,11 +202,11 @@
 
         self.run_trio(test)
 
-    def test_idle_connection_closed_just_as_the_request_leaves(self) -> None:
-        """Symptom: a release is answered ``may-have-run`` although it never reached anybody.
+    def test_idle_connection_closed_while_a_request_is_sent(self) -> None:
+        """Guards against ``may-have-run`` for requests that reached no backend server.
 
-        Sequence: the backend server closes idle connections after a short time; the entry sends
-        the next request just then. Cause: the reset cannot be told from one after a run.
+        The backend server closes idle connections after a short time while the entry sends the next
+        request. The reset cannot be distinguished from one after a run.
         """
 
         async def test() -> None:
@@ -230,11 +230,11 @@
     def set_platform(self, **modes: object) -> None:
         self.running.set_platform(**modes)
 
-    def test_copies_without_a_binding_at_all_entries_at_once(self) -> None:
-        """Symptom: a room is held twice by a caller that knows nothing of bindings.
+    def test_concurrent_copies_without_a_binding_run_once(self) -> None:
+        """Guards against several runs for a caller that does not use bindings.
 
-        Sequence: copies of the same key reach three entries at the same time, while the answers of
-        the platform are lost. Cause: each entry would believe that the claim is its own.
+        Copies of the same key reach three entries at the same time, while answers of the platform
+        are lost. Each entry could take the claim for its own.
         """
 
         async def test() -> None:
@@ -250,11 +250,11 @@
 
         self.run_trio(test)
 
-    def test_platform_down(self) -> None:
-        """Symptom: a key without a binding runs unclaimed, or its caller waits for the deadline.
+    def test_keys_without_a_binding_are_refused_while_the_platform_is_down(self) -> None:
+        """Guards against running a key without a claim, and against a wait until the deadline.
 
-        Sequence: the platform is out; a key without a binding arrives. Cause: none may run it, and
-        the refusal is ``not-run``; the same key runs once the platform is back.
+        A key without a binding arrives while the platform is down. It must be refused ``not-run``
+        and run once the platform is available again.
         """
 
         async def test() -> None:
@@ -270,12 +270,12 @@
 
         self.run_trio(test)
 
-    def test_claim_that_lands_after_its_caller_was_refused(self) -> None:
-        """Symptom: a key refused as ``not-run`` runs later, beside the copy that was sent then.
+    def test_claim_stored_after_its_caller_was_refused(self) -> None:
+        """Guards against two runs of a key whose claim is stored after its refusal ``not-run``.
 
-        Sequence: the platform is slow; the entry gives up the claim at the deadline and refuses;
-        the claim lands all the same; the caller sends the key elsewhere, and here again. Cause: a
-        write whose answer nobody awaits.
+        The platform is slow. The entry stops waiting for the claim at the deadline and refuses the
+        key, but the claim is stored later. The caller sends the key to another entry and then again
+        to the first one.
         """
 
         async def test() -> None:
@@ -294,11 +294,11 @@
         self.run_trio(test)
 
     def test_bound_entry_killed_while_the_platform_is_out(self) -> None:
-        """Two faults at once: the platform is out, and the entry with the keys is killed.
+        """Guards against a second run if neither the platform nor the bound entry can be asked.
 
-        Symptom: with nobody to ask, a repeat runs again. Sequence: platform down, entry killed with
-        keys in flight, repeats with and without the binding elsewhere. Cause: an entry that cannot
-        know must not run.
+        The platform is down, the entry is killed with keys in flight, and the keys are sent with
+        their binding to another entry and to the replacement. An entry that cannot learn the
+        outcome must not run a key.
         """
 
         async def test() -> None:
@@ -320,10 +320,10 @@
 
 
 class CallerLibraryTest(KeyedFaults):
-    """The same faults behind the caller library, which repeats by itself."""
+    """Faults as seen by the caller library, which retries by itself."""
 
     async def release_all(self, prefix: str) -> dict[str, Verdict]:
-        """Release many deposits at the same time; some callers' answers may be lost for good."""
+        """Send many requests concurrently; return the verdicts, also of unanswered requests."""
         verdicts: dict[str, Verdict] = {}
 
         async def release(caller: Caller, key: str) -> None:
@@ -346,7 +346,7 @@
         return verdicts
 
     async def busy_entry(self) -> EntryProcess:
-        """The entry that the requests in flight go through."""
+        """Return the entry with at least half of the requests in flight."""
         while True:
             for number, entry in enumerate(self.running.entries):
                 page = await in_thread(entry.page, "status")
@@ -354,11 +354,11 @@
                     return self.running.entries[number]
             await trio.sleep(0.01)
 
-    def test_entry_paused_for_a_moment(self) -> None:
-        """Symptom: after each short pause of an entry, clerks look up releases by hand.
+    def test_requests_survive_a_short_freeze_of_their_entry(self) -> None:
+        """Guards against unknown outcomes after each short freeze of an entry.
 
-        Sequence: an entry with releases in flight is frozen for 1.5 s and goes on. Cause: a caller
-        that gives up too early, and asks nobody once more.
+        An entry with requests in flight is frozen for 1.5 s. A caller that gives up too early and
+        asks no entry again would leave the outcomes to be looked up by hand.
         """
 
         async def test() -> None:
@@ -375,11 +375,11 @@
         verdicts = await self.release_all(prefix)
         self.assertEqual(set(verdicts.values()), {Verdict.RAN})
 
-    def test_entry_killed(self) -> None:
-        """Symptom: releases that never left are told ``may-have-run`` when an entry dies.
+    def test_requests_sent_after_an_entry_was_killed_run(self) -> None:
+        """Guards against ``may-have-run`` for requests that were never sent to a killed entry.
 
-        Sequence: an entry is killed with releases in flight; other releases follow while lookups
-        still name it. Cause: only what was on its way in that moment is unknown.
+        An entry is killed with requests in flight; further requests follow while lookups still
+        return it. Only the outcomes of the requests in flight are unknown.
         """
 
         async def test() -> None:
--- a/tests/nocover/test_at_most_once.py
+++ b/tests/nocover/test_at_most_once.py
@@ -1,7 +1,7 @@
-"""All schedules of copies, answers, epochs, restarts and refusals: at most one run for each key.
+"""Model test: at most one run for each key under any schedule of copies, epochs and restarts.
 
-The real ``KeyStore`` and the real ``BoundKey`` on a network that delays and reorders copies and
-loses answers, with two entries and lookups of any age.
+The real ``KeyStore`` and ``BoundKey`` run on a simulated network that delays and reorders copies
+and loses answers, with two entries and lookups of any age.
 """
 
 import json
@@ -33,7 +33,7 @@
 
 EPOCH_S = 10.0
 ENTRIES = st.integers(0, 1)
-# Mostly one key: the others fill the memory.
+# Most requests use one key; the others fill the store.
 KEYS = st.sampled_from([0, 0, 0, 0, 1, 2])
 PICK = st.integers(0, 1000)
 SHED = NotRun(
@@ -42,7 +42,7 @@
 
 
 class Copy(NamedTuple):
-    """A copy on its way: where it is bound, and the very object that the caller bound it with."""
+    """A copy in transit: the entry object that the caller bound it with, and its destination."""
 
     key: int
     entry: KnownEntry
@@ -73,7 +73,7 @@
         self.network: list[Copy] = []
         self.running: list[Copy] = []
         self.joined: list[Copy] = []
-        # Attempts of each key that ran, or are running and may yet turn out to have been shed.
+        # The attempts of each key that ran, or that are in flight and may still be shed.
         self.ran: list[set[int]] = [set(), set(), set()]
         self.told_not_run: list[set[int]] = [set(), set(), set()]
 
@@ -89,7 +89,7 @@
 
     @rule(key=KEYS, number=ENTRIES, old=st.booleans(), copies=st.integers(1, 3))
     def send(self, key: int, number: int, old: bool, copies: int) -> None:
-        """Send copies, under a lookup of now or of any time before."""
+        """Send copies with the binding of a new or an earlier lookup."""
         if not old or not self.lookups:
             self.lookups.append((number, self.stores[number].binding))
         to, binding = self.lookups[len(self.lookups) // 2 if old else -1]
@@ -142,8 +142,8 @@
         self.stores[copy.to].finish(key, outcome)
         if isinstance(outcome, NotRun):
             self.ran[copy.key].discard(copy.binding.attempt)
-        same = [one for one in self.joined if (one.key, one.to) == (copy.key, copy.to)]
-        self.joined = [one for one in self.joined if one not in same]
+        same = [joined for joined in self.joined if (joined.key, joined.to) == (copy.key, copy.to)]
+        self.joined = [joined for joined in self.joined if joined not in same]
         for waiting in [copy, *same]:
             match outcome:
                 case Answered():
