--- a/src/wagtailpoint/placement/cached_fraction.py
+++ b/src/wagtailpoint/placement/cached_fraction.py
@@ -79,7 +79,7 @@
     def record_request(self, service: str, service_s: float) -> None:
         """Record a request that takes ``service_s`` seconds of a slot if its object is cached."""
         now = trio.current_time()
-        demand = self._demand(service, now)
+        demand = self._get_demand(service, now)
         demand.decay(now)
         # The factor normalises the decaying sum: a steady demand settles at the number of slots in
         # use.
@@ -87,20 +87,20 @@
 
     def domain_fraction(self, service: str, failure_domain: str) -> float:
         """Return the fraction of the keys, 0 to 1, to cache in a failure domain."""
-        return self._updated(service).fractions.get(failure_domain, 1.0)
+        return self._get_updated_demand(service).fractions.get(failure_domain, 1.0)
 
     def region_fraction(self, service: str, region: str) -> float:
         """Return the fraction of the keys, 0 to 1, that a region caches for its own callers."""
-        return self._updated(service).region_fractions.get(region, 1.0)
+        return self._get_updated_demand(service).region_fractions.get(region, 1.0)
 
-    def _updated(self, service: str) -> _ServiceDemand:
+    def _get_updated_demand(self, service: str) -> _ServiceDemand:
         now = trio.current_time()
-        demand = self._demand(service, now)
+        demand = self._get_demand(service, now)
         if now - demand.updated_at >= UPDATE_INTERVAL_S:
             self._update(service, demand, now)
         return demand
 
-    def _demand(self, service: str, now: float) -> _ServiceDemand:
+    def _get_demand(self, service: str, now: float) -> _ServiceDemand:
         demand = self._demands.get(service)
         if demand is None:
             demand = self._demands[service] = _ServiceDemand(self._initial_slots(service), now)
@@ -130,10 +130,10 @@
 
 
 def _step_towards(
-    fractions: dict[str, float], slots: Mapping[str, int], wanted_slots: float, step: float
+    fractions: dict[str, float], slots: Mapping[str, int], needed_slots: float, step: float
 ) -> None:
     """Move the fraction of each failure domain or region towards what its slots can serve."""
     for place, available in slots.items():
-        fraction = min(1.0, available / max(0.01, wanted_slots))
+        fraction = min(1.0, available / max(0.01, needed_slots))
         previous = fractions.get(place, fraction)
         fractions[place] = previous + max(-step, min(step, fraction - previous))
--- a/src/wagtailpoint/placement/cold_senders.py
+++ b/src/wagtailpoint/placement/cold_senders.py
@@ -49,21 +49,21 @@
         self._members_by_address: dict[str, Member] = {}
         self._most_capable: frozenset[str] = frozenset()
 
-    def count_senders(self, start: ServerStart, region: str, wanted: int) -> int:
+    def count_senders(self, start: ServerStart, region: str, max_senders: int) -> int:
         """Return how many instances send to a backend server, 0 if this one is not among them.
 
         Args:
             start: The backend server.
             region: The region of the backend server; instances there are preferred, so that its
                 cache is filled for the callers of that region first.
-            wanted: The maximum number of senders.
+            max_senders: The maximum number of senders.
         """
         self._poll_members()
         instances = self._instances()
         if len(self._last_alive_at) < instances:
             # Instances that are not known yet may select other senders, so all instances share.
             return instances
-        wanted = min(wanted, len(self._last_alive_at))
+        max_senders = min(max_senders, len(self._last_alive_at))
         senders = sorted(
             self._last_alive_at,
             key=lambda address: (
@@ -72,7 +72,7 @@
                 -rendezvous_score(start.server_id, address),
             ),
         )
-        return wanted if self._own in senders[:wanted] else 0
+        return max_senders if self._own in senders[:max_senders] else 0
 
     def _poll_members(self) -> None:
         now = trio.current_time()
--- a/src/wagtailpoint/placement/key_reuse.py
+++ b/src/wagtailpoint/placement/key_reuse.py
@@ -3,7 +3,7 @@
 import math
 from typing import Final
 
-HALF_LIFE_S: Final = 4.0
+RATE_HALF_LIFE_S: Final = 4.0
 KEY_COUNT_WINDOW_S: Final = 10.0
 MAX_KEYS: Final = 4096
 
@@ -45,7 +45,7 @@
 
     def record(self, key: str, now: float) -> None:
         """Record a request for a key."""
-        self._rate = self._rate_at(now) + math.log(2) / HALF_LIFE_S
+        self._rate = self._rate_at(now) + math.log(2) / RATE_HALF_LIFE_S
         self._rate_updated_at = now
         if now - self._window_began_at > KEY_COUNT_WINDOW_S:
             self._previous_keys = estimate_key_count(self._requests, len(self._seen_keys))
@@ -65,7 +65,9 @@
         return max(1.0, REUSE_HORIZON_S * entries * self._rate_at(now) / self._keys)
 
     def _rate_at(self, now: float) -> float:
-        return self._rate * math.exp(-math.log(2) * (now - self._rate_updated_at) / HALF_LIFE_S)
+        return self._rate * math.exp(
+            -math.log(2) * (now - self._rate_updated_at) / RATE_HALF_LIFE_S
+        )
 
 
 def estimate_key_count(requests: int, distinct: int) -> float:
--- a/src/wagtailpoint/placement/placement.py
+++ b/src/wagtailpoint/placement/placement.py
@@ -103,13 +103,13 @@
         ]
         if not untried:
             return NotPlaced("no backend server")
-        wanted = self._preferred_servers(order.ranked, reachable, now)
+        preferred = self._preferred_servers(order.ranked, reachable, now)
         utilisation = self._utilisation.estimate(demand.service, now)
 
         def weigh(option: Ranked) -> Choice | Declined:
             return self._weigher.weigh(demand, option, order.position, utilisation, now)
 
-        weighable = [option for option in untried if option in wanted]
+        weighable = [option for option in untried if option in preferred]
         if not weighable and utilisation < MAX_SPILLOVER_UTILISATION:
             weighable = untried[:1]
         weighed = [weigh(option) for option in weighable]
@@ -127,18 +127,18 @@
         self, ranked: Sequence[Ranked], reachable: Sequence[Ranked], now: float
     ) -> set[Ranked]:
         """Return the candidates that should serve a request if they have capacity."""
-        wanted = set(select_preferred(ranked)).intersection(reachable)
-        if not wanted:
+        preferred = set(select_preferred(ranked)).intersection(reachable)
+        if not preferred:
             return set(select_preferred(reachable))
         failing = {
-            option for option in wanted if self.load_of(option.candidate.entry).is_failing(now)
+            option for option in preferred if self.load_of(option.candidate.entry).is_failing(now)
         }
         if failing:
             # Failing servers stay candidates: they are weighed against servers without the object.
-            wanted.update(
+            preferred.update(
                 select_preferred([option for option in reachable if option not in failing])
             )
-        return wanted
+        return preferred
 
     def _choose_least_loss(
         self, choices: Sequence[Choice], remaining_s: float, now: float
@@ -151,14 +151,14 @@
         best = min(choices, key=expected_loss)
         if not self._mix.is_at_limit(best.region, now):
             return best
-        others = [
+        alternatives = [
             option
             for option in choices
             if not self._mix.is_at_limit(option.region, now)
             and not is_too_late(option, remaining_s)
             and self.load_of(option.entry).is_healthy(now)
         ]
-        return min(others, key=expected_loss, default=best)
+        return min(alternatives, key=expected_loss, default=best)
 
     def record_send(self, demand: Demand, choice: Choice) -> InFlightRequest:
         """Record that a request is sent; return its record for ``record_end``."""
@@ -183,8 +183,8 @@
         if seen.report is not None:
             load.record_report(seen.report, now, round_trip_s)
         # Shedding is correct for a full backend server, and a failure of one with free slots.
-        full = seen.report is not None and seen.report.running >= seen.report.slots
-        load.record_answer(now, failed=seen.failed or (seen.shed and not full))
+        is_full = seen.report is not None and seen.report.running >= seen.report.slots
+        load.record_answer(now, failed=seen.failed or (seen.shed and not is_full))
         self._fleet.record_cold(entry.start, seen.cold_s)
         if seen.failed or seen.shed:
             return
