--- a/src/wagtailpoint/idempotency/bound_entry.py
+++ b/src/wagtailpoint/idempotency/bound_entry.py
@@ -104,7 +104,7 @@
         locate: Callable[[str], PeerAddress | None],
         nursery: trio.Nursery,
     ) -> None:
-        """Initialise it and register the handlers of queries.
+        """Register the handlers of queries from other instances.
 
         Args:
             peers: The links to the other instances.
@@ -121,7 +121,7 @@
         peers.handle(AwaitClaimedKey, self._on_await_claimed)
 
     async def settle(self, key: RequestKey, binding: Binding, *, wait_s: float) -> Outcome | None:
-        """Return the outcome of a key by its bound incarnation; None if it gives none.
+        """Ask the bound incarnation for the outcome of a key; None if unknown or unanswered.
 
         Args:
             key: The key.
@@ -143,7 +143,7 @@
     async def await_claimed(
         self, key: RequestKey, incarnation: str, *, wait_s: float
     ) -> Answered | MayHaveRun | None:
-        """Return the outcome of a key by the holder of its claim; None if it gives none."""
+        """Ask the holder of a claim for the outcome of a key; None if unknown or unanswered."""
         address = self._locate(incarnation)
         if address is None:
             return None
--- a/src/wagtailpoint/idempotency/claims.py
+++ b/src/wagtailpoint/idempotency/claims.py
@@ -151,9 +151,9 @@
         return removed
 
     def _reuse_claim(self, name: str, held: _Held) -> Claimed | NotClaimed:
-        # The claim outlives the two epochs of the key store. A delayed copy, which the key store
-        # has discarded by then, finds a claim by this process; if that permitted it to run, the
-        # request would run twice.
+        # The claim outlives the two epochs of the key store. A delayed copy, whose key the key
+        # store has discarded by then, finds a claim by this process; if that permitted it to run,
+        # the request would run twice.
         if held.used:
             return NotClaimed(_already_used(), self._value)
         self._held[name] = held._replace(used=True)
@@ -168,7 +168,7 @@
         return True
 
     async def _read_back(self, name: str) -> Claimed | NotClaimed | None:
-        """Return the result by the stored claim; None if none is stored yet or it is unreadable."""
+        """Return the result for the stored claim; None if there is none yet or it is unreadable."""
         match await self._platform.get(kind=CLAIM_KIND, name=name):
             case Ok(StoredObject() as stored):
                 return self._resolve(stored)
--- a/src/wagtailpoint/placement/server_load.py
+++ b/src/wagtailpoint/placement/server_load.py
@@ -86,8 +86,8 @@
 class ServerLoad:
     """Estimates the load and health of one backend server.
 
-    Some of the requests in flight, or their answers, are in transit. A server that is 70 ms of
-    round trip away and takes 70 ms for a request holds half of them. If all of them were counted, a
+    Some of the requests in flight, or their answers, are in transit. A server with a
+    round trip of 70 ms that takes 70 ms for a request holds half of them. If all were counted, a
     distant server would seem full, the more so the more requests are sent there. The requests of a
     load report, which is half a round trip old, would be counted as those of other instances.
     """
@@ -218,9 +218,9 @@
         """Record that it could not be reached or broke off; return its backoff in seconds."""
         if self._resting_until is None or now >= self._resting_until:
             self._failures += 1
-        rest_s: float = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2.0 ** (self._failures - 1))
-        self._resting_until = max(self._resting_until or 0.0, now + rest_s)
-        return rest_s
+        backoff_s: float = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2.0 ** (self._failures - 1))
+        self._resting_until = max(self._resting_until or 0.0, now + backoff_s)
+        return backoff_s
 
     def record_reachable(self) -> None:
         """Record that a connection opened, which ends the backoff but not its doubling."""
