--- a/src/wagtailpoint/placement/utilisation.py
+++ b/src/wagtailpoint/placement/utilisation.py
@@ -1,41 +1,42 @@
-"""Which part of a service's slots is in use."""
+"""Estimated utilisation of a service's slots."""
 
 from typing import Final
 
 from wagtailpoint.discovery.fleet import Fleet
 from wagtailpoint.placement.distances import Distances
-from wagtailpoint.placement.learned import Learned
+from wagtailpoint.placement.estimates import Estimates
 
 UPDATE_INTERVAL_S: Final = 0.1
+"""Time for which an estimate is reused."""
 
 
 class Utilisation:
-    """The part of all slots of a service that is in use, as far as this instance knows."""
+    """Estimates the fraction of a service's slots that is in use, as known to this instance."""
 
-    def __init__(self, *, fleet: Fleet, distances: Distances, learned: Learned) -> None:
-        """Make it.
+    def __init__(self, *, fleet: Fleet, distances: Distances, estimates: Estimates) -> None:
+        """Initialise the estimates as unknown.
 
         Args:
             fleet: The backend servers.
-            distances: How far they are.
-            learned: Their load.
+            distances: The round-trip times to them.
+            estimates: Their load.
         """
         self._fleet = fleet
         self._distances = distances
-        self._learned = learned
-        self._known: dict[str, tuple[float, float]] = {}
+        self._estimates = estimates
+        self._cached: dict[str, tuple[float, float]] = {}
 
-    def of(self, service: str, now: float) -> float:
-        """From 0 to 1; worked out now and then, for all requests."""
-        known = self._known.get(service)
+    def estimate(self, service: str, now: float) -> float:
+        """Return the utilisation of a service, 0 to 1, computed once in ``UPDATE_INTERVAL_S``."""
+        known = self._cached.get(service)
         if known is not None and now - known[0] < UPDATE_INTERVAL_S:
             return known[1]
         used, slots = 0.0, 0
         for candidate in self._fleet.candidates(service):
             entry = candidate.entry
             round_trip_s = self._distances.round_trip_s(entry.failure_domain)
-            used += min(entry.slots, self._learned.load_of(entry).occupancy(now, round_trip_s))
+            used += min(entry.slots, self._estimates.load_of(entry).occupancy(now, round_trip_s))
             slots += entry.slots
         utilisation = used / slots if slots else 0.0
-        self._known[service] = (now, utilisation)
+        self._cached[service] = (now, utilisation)
         return utilisation
