--- a/src/wagtailpoint/quarantine/__init__.py
+++ b/src/wagtailpoint/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that crash the backend servers that run them: found, told to all, and refused."""
+"""Quarantine of requests that crash backend servers: detection, broadcast and storage."""
--- a/src/wagtailpoint/quarantine/crash_broadcaster.py
+++ b/src/wagtailpoint/quarantine/crash_broadcaster.py
@@ -1,4 +1,4 @@
-"""How the instances tell each other of requests that met crashes."""
+"""Broadcasts of crash reports between instances."""
 
 import re
 from collections.abc import Callable, Sequence
@@ -11,17 +11,23 @@
 from wagtailpoint.ports.peers import Message, PeerAddress, Peers, Received, register_message
 from wagtailpoint.quarantine.quarantine import CrashReport, Quarantine
 
-MOST_AT_ONCE: Final = 50.0
-"""Reports of one instance. When hundreds of backend servers end at the same moment, what ran there
-is suspect of a single crash, and most of it is answered elsewhere."""
+MAX_BURST: Final = 50.0
+"""Broadcasts of one instance that may follow each other at once. When hundreds of backend servers
+end together, each request that ran there is suspected of one crash, and most are answered by other
+backend servers."""
 
-MOST_A_SECOND: Final = 5.0
-MOST_MESSAGES_A_SECOND: Final = 200.0
-"""What may go on for long: reports, and messages of them to however many other instances."""
+MAX_REPORTS_PER_S: Final = 5.0
+MAX_MESSAGES_PER_S: Final = 200.0
+"""Sustained rates of one instance: broadcasts, and the messages to all other instances that they
+consist of."""
 
 
 class CrashCleared(NamedTuple):
-    """A request that met crashes was answered by a backend server that ran it."""
+    """States that a request suspected of crashes was answered by a backend server that ran it.
+
+    Attributes:
+        fingerprint: Identifies the request.
+    """
 
     fingerprint: str
 
@@ -33,65 +39,65 @@
 
 
 class CrashBroadcaster:
-    """Sends reports to all other instances, and takes in theirs.
+    """Sends crash reports to all other instances, and applies the reports that they send.
 
-    Each instance tells all others itself, and nobody tells it on: it must be known everywhere
-    before the request comes again, and there are few of them.
+    Each instance sends its reports to all others directly, and received reports are not forwarded:
+    they must arrive before the request is sent again, and reports are rare.
     """
 
     def __init__(self, *, peers: Peers, others: Callable[[], Sequence[PeerAddress]]) -> None:
-        """Make it.
+        """Initialise the broadcaster.
 
         Args:
-            peers: Carry the reports.
-            others: The other instances that may live.
+            peers: Links to other instances, over which reports are sent.
+            others: Returns the addresses of the other instances that are not known to be dead.
         """
         self._peers = peers
         self._others = others
-        self._left = MOST_AT_ONCE
-        self._left_at = 0.0
+        self._tokens = MAX_BURST
+        self._filled_at = 0.0
 
     def listen(self, quarantine: Quarantine) -> None:
-        """Give a quarantine what the others tell."""
+        """Apply the messages of other instances to a quarantine."""
 
-        def take_report(received: Received) -> None:
+        def handle_report(received: Received) -> None:
             report: CrashReport = received.message
             if not _FINGERPRINT.fullmatch(report.fingerprint):
                 log_event("crash-report-unreadable", level="WARNING", sender=received.sender)
                 return
-            more = quarantine.learn(report)
-            # The sender may have started after the others were told.
-            if more is not None:
-                self._peers.send(received.sender, more)
+            known = quarantine.apply_report(report)
+            # The sender may have started after the crashes were broadcast.
+            if known is not None:
+                self._peers.send(received.sender, known)
 
-        def take_cleared(received: Received) -> None:
-            quarantine.learn_cleared(received.message.fingerprint)
+        def handle_cleared(received: Received) -> None:
+            quarantine.apply_cleared(received.message.fingerprint)
 
-        self._peers.handle(CrashReport, take_report)
-        self._peers.handle(CrashCleared, take_cleared)
+        self._peers.handle(CrashReport, handle_report)
+        self._peers.handle(CrashCleared, handle_cleared)
 
     def broadcast_crashes(self, report: CrashReport) -> None:
-        """Tell the others of the crashes that a request has met."""
+        """Send a crash report to all other instances."""
         self._send(report, report.fingerprint)
 
     def broadcast_cleared(self, fingerprint: str) -> None:
-        """Tell the others that a request that met crashes was answered after all."""
+        """Tell all other instances that a suspected request was answered."""
         self._send(CrashCleared(fingerprint), fingerprint)
 
     def _send(self, message: Message, fingerprint: str) -> None:
         others = self._others()
-        if not self._may_send(len(others)):
+        if not self._take_token(len(others)):
             log_event("crash-report-dropped", level="WARNING", digest=fingerprint)
             return
         for peer in others:
             self._peers.send(peer, message)
 
-    def _may_send(self, copies: int) -> bool:
+    def _take_token(self, copies: int) -> bool:
         now = trio.current_time()
-        a_second = min(MOST_A_SECOND, MOST_MESSAGES_A_SECOND / max(1, copies))
-        self._left = min(MOST_AT_ONCE, self._left + a_second * (now - self._left_at))
-        self._left_at = now
-        if self._left < 1.0:
+        rate_per_s = min(MAX_REPORTS_PER_S, MAX_MESSAGES_PER_S / max(1, copies))
+        self._tokens = min(MAX_BURST, self._tokens + rate_per_s * (now - self._filled_at))
+        self._filled_at = now
+        if self._tokens < 1.0:
             return False
-        self._left -= 1.0
+        self._tokens -= 1.0
         return True
--- a/src/wagtailpoint/quarantine/quarantine.py
+++ b/src/wagtailpoint/quarantine/quarantine.py
@@ -1,7 +1,8 @@
-"""Which requests crash the backend servers that run them, and must reach no more of them.
+"""Detection of requests that crash backend servers and must not be sent to any others.
 
-A request that meets a crash is not the cause of it: whatever else ran there met it, too. It is one
-that met several, and was answered by none in between.
+When a backend server crashes, every request that it was running is a suspect, and most of them did
+not cause the crash. A request is quarantined if several backend servers crashed while running it
+and none answered it in between.
 """
 
 from collections import Counter
@@ -14,41 +15,43 @@
 from wagtailpoint.discovery.entries import ServerStart
 from wagtailpoint.observe.log import log_event
 
-CRASHES: Final = 3
-"""Backend servers that a request may crash; then it is quarantined."""
+QUARANTINE_CRASH_COUNT: Final = 3
+"""Number of backend servers that crashed while running a request, at which it is quarantined."""
 
-LAST_REPEAT: Final = 2
-"""After so many crashes no instance repeats it by itself: only its caller may, once."""
+RETRY_CRASH_LIMIT: Final = 2
+"""Number of crashes at which instances stop retrying a request; its caller may still send it once
+more."""
 
-MOST_SUSPECTS: Final = 4096
-SUSPECT_S: Final = 900.0
-"""Requests that met fewer crashes are forgotten after so many seconds without another one."""
+MAX_SUSPECTS: Final = 4096
+SUSPECT_TTL_S: Final = 900.0
+"""A request that is not quarantined is removed after this time without another crash."""
 
-MOST_STARTS: Final = 16
-"""Backend servers that are named for one request."""
+MAX_STARTS: Final = 16
+"""Maximum number of backend server starts kept for one request."""
 
-MOST_TEXT: Final = 200
-"""Characters of a target, and of a host, that are kept for operators."""
+MAX_TEXT_CHARS: Final = 200
+"""Maximum length of the target, and of the host, kept for operators."""
 
 
 class Admission(Enum):
-    """Whether a request may be sent to a backend server; the values are for logs."""
+    """Whether a request may be sent to a backend server; the values are written to logs."""
 
     ADMITTED = "admitted"
     SUSPECT = "suspect"
-    """Those under way may crash as many as it may crash in all."""
+    """With the same requests in flight, it may reach the number of crashes at which it is
+    quarantined."""
     QUARANTINED = "quarantined"
 
 
 class CrashReport(NamedTuple):
-    """A request, and the backend servers that it has crashed as far as is known.
+    """A request and the known crashes of backend servers that were running it.
 
     Attributes:
-        fingerprint: Tells the request.
-        method: For operators; so are the next two.
-        host: The host that it asked for.
-        target: The beginning of path and query.
-        starts: Each start of a backend server once, the earliest first.
+        fingerprint: Identifies the request.
+        method: HTTP method; like host and target it is information for operators.
+        host: Requested host, possibly truncated.
+        target: Path and query, possibly truncated.
+        starts: Starts of the crashed backend servers, without duplicates, earliest first.
     """
 
     fingerprint: str
@@ -59,14 +62,14 @@
 
 
 class _Suspect:
-    """A request that met crashes."""
+    """A request that was running on backend servers when they crashed."""
 
     def __init__(self, report: CrashReport) -> None:
         self.starts: dict[ServerStart, None] = {}
-        self.last_at = 0.0
-        self.told = False
+        self.last_crash_at = 0.0
+        self.is_broadcast = False
         self._report = report._replace(
-            host=report.host[:MOST_TEXT], target=report.target[:MOST_TEXT], starts=()
+            host=report.host[:MAX_TEXT_CHARS], target=report.target[:MAX_TEXT_CHARS], starts=()
         )
 
     @property
@@ -74,133 +77,146 @@
         return self._report._replace(starts=tuple(self.starts))
 
     def add(self, starts: Sequence[ServerStart]) -> None:
-        for start in starts[: MOST_STARTS - len(self.starts)]:
+        for start in starts[: MAX_STARTS - len(self.starts)]:
             self.starts[start] = None
 
 
-class CrashTeller(Protocol):
-    """Tells the other instances what this one has found."""
+class CrashNotifier(Protocol):
+    """Informs other instances about suspected requests."""
 
     def broadcast_crashes(self, report: CrashReport) -> None:
-        """Tell them of the crashes that a request has met."""
+        """Send a crash report to all other instances."""
         ...
 
     def broadcast_cleared(self, fingerprint: str) -> None:
-        """Tell them that a request that met crashes was answered after all."""
+        """Tell all other instances that a suspected request was answered."""
         ...
 
 
 class Quarantine:
-    """Counts crashes by request, of this instance and of the others, and shuts out the guilty.
+    """Counts crashes by request, as seen by all instances, and quarantines requests.
 
-    What the store lists is shut out until it is removed there; what was found lately is shut out
-    though the store may not list it yet.
+    A request in the store is quarantined until it is removed from there. A request that reached
+    the number of crashes is quarantined even while the store does not list it yet.
     """
 
-    def __init__(self, *, others: CrashTeller) -> None:
-        """Make it without any suspect.
+    def __init__(self, *, others: CrashNotifier) -> None:
+        """Initialise a quarantine without suspects.
 
         Args:
-            others: Tells the other instances.
+            others: Informs the other instances.
         """
         self._others = others
         self._suspects: dict[str, _Suspect] = {}
         self._stored: Mapping[str, CrashReport] = {}
-        self._under_way: Counter[str] = Counter()
-        self._found = trio.Event()
+        self._in_flight: Counter[str] = Counter()
+        self._unstored_added = trio.Event()
 
     @property
     def suspects(self) -> int:
-        """Requests that met crashes, but too few, or are quarantined and not in the store yet."""
+        """Number of requests with crashes that are not in the store, quarantined or not."""
         return len(self._suspects)
 
     @property
     def stored(self) -> Mapping[str, CrashReport]:
-        """Those that the store lists as quarantined, by fingerprint."""
+        """Quarantined requests in the store, by fingerprint."""
         return self._stored
 
     @property
     def unstored(self) -> Sequence[CrashReport]:
-        """Those that are quarantined and that the store does not list."""
-        return [each.report for each in self._suspects.values() if len(each.starts) >= CRASHES]
+        """Quarantined requests that are not in the store."""
+        return [
+            suspect.report
+            for suspect in self._suspects.values()
+            if len(suspect.starts) >= QUARANTINE_CRASH_COUNT
+        ]
 
     async def wait_unstored(self) -> None:
-        """Wait until there is one that the store does not list."""
+        """Wait until a quarantined request is not in the store."""
         while not self.unstored:
-            await self._found.wait()
+            await self._unstored_added.wait()
 
     def crashes(self, fingerprint: str) -> int:
-        """How many backend servers a request has crashed, as far as is known."""
+        """Return the known number of crashes of backend servers that were running a request."""
         return len(self._starts_of(fingerprint))
 
     def admission(self, fingerprint: str) -> Admission:
-        """Whether a request may be sent to a backend server now."""
+        """Return whether a request may be sent to a backend server now."""
         if fingerprint in self._stored:
             return Admission.QUARANTINED
         crashes = self.crashes(fingerprint)
-        if crashes >= CRASHES:
+        if crashes >= QUARANTINE_CRASH_COUNT:
             return Admission.QUARANTINED
-        if crashes and crashes + self._under_way[fingerprint] >= CRASHES:
+        if crashes and crashes + self._in_flight[fingerprint] >= QUARANTINE_CRASH_COUNT:
             return Admission.SUSPECT
         return Admission.ADMITTED
 
     def allows_retry(self, fingerprint: str) -> bool:
-        """Whether this instance may send a request again after it was sent in vain."""
+        """Return whether this instance may retry a request that was not answered."""
         admitted = self.admission(fingerprint) is Admission.ADMITTED
-        return admitted and self.crashes(fingerprint) < LAST_REPEAT
+        return admitted and self.crashes(fingerprint) < RETRY_CRASH_LIMIT
 
     def record_started(self, fingerprint: str) -> None:
-        """A request is sent to a backend server."""
-        self._under_way[fingerprint] += 1
+        """Record that a request is sent to a backend server."""
+        self._in_flight[fingerprint] += 1
 
     def record_ended(self, fingerprint: str) -> None:
-        """A request that was sent is over."""
-        self._under_way[fingerprint] -= 1
-        if not self._under_way[fingerprint]:
-            del self._under_way[fingerprint]
+        """Record that a request sent to a backend server has ended."""
+        self._in_flight[fingerprint] -= 1
+        if not self._in_flight[fingerprint]:
+            del self._in_flight[fingerprint]
 
     def record_crash(self, report: CrashReport) -> None:
-        """A backend server crashed while it had a request of this instance.
+        """Record that a backend server crashed while running a request of this instance.
 
-        Others are told at the second crash, or when the request is over without an answer: most
-        requests that met one are answered by another backend server soon.
+        The report is broadcast at the second crash, or when the request ends without an answer:
+        most requests with a single crash are soon answered by another backend server.
         """
         suspect = self._add(report, known="own")
-        if len(suspect.starts) >= LAST_REPEAT:
-            self._tell(suspect)
+        if len(suspect.starts) >= RETRY_CRASH_LIMIT:
+            self._broadcast(suspect)
 
     def record_finished(self, fingerprint: str, *, answered: bool) -> None:
-        """A request of this instance is over; ``answered`` by a backend server that ran it."""
+        """Record that a request of this instance has ended.
+
+        Args:
+            fingerprint: Identifies the request.
+            answered: Whether a backend server that ran it has answered.
+        """
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             return
-        if answered and len(suspect.starts) < CRASHES:
+        if answered and len(suspect.starts) < QUARANTINE_CRASH_COUNT:
             self._clear(fingerprint)
-            if suspect.told:
+            if suspect.is_broadcast:
                 self._others.broadcast_cleared(fingerprint)
-        elif not answered and not suspect.told:
-            self._tell(suspect)
+        elif not answered and not suspect.is_broadcast:
+            self._broadcast(suspect)
 
-    def learn(self, report: CrashReport) -> CrashReport | None:
-        """Take in what another instance knows; return what is known here if that is more."""
+    def apply_report(self, report: CrashReport) -> CrashReport | None:
+        """Apply a report of another instance.
+
+        Returns:
+            The report of this instance if it names crashes that ``report`` lacks, else None.
+        """
         known = self._stored.get(report.fingerprint)
         if known is None:
             suspect = self._add(report, known="peer")
-            suspect.told = True
+            suspect.is_broadcast = True
             known = suspect.report
         return known if set(known.starts) - set(report.starts) else None
 
-    def learn_cleared(self, fingerprint: str) -> None:
-        """Another instance had an answer to a suspect."""
-        if 0 < self.crashes(fingerprint) < CRASHES:
+    def apply_cleared(self, fingerprint: str) -> None:
+        """Apply the message that another instance got an answer to a suspected request."""
+        if 0 < self.crashes(fingerprint) < QUARANTINE_CRASH_COUNT:
             self._clear(fingerprint)
 
-    def take_stored(self, reports: Mapping[str, CrashReport], *, lifted: Sequence[str]) -> None:
-        """Take in what the store lists.
+    def apply_stored(self, reports: Mapping[str, CrashReport], *, lifted: Sequence[str]) -> None:
+        """Apply a listing of the store.
 
         Args:
-            reports: What it lists, by fingerprint.
-            lifted: What it listed and lists no more, as far as the caller knows.
+            reports: Requests in the store, by fingerprint.
+            lifted: Fingerprints of requests that the caller knows to have been removed.
         """
         for fingerprint in [*lifted, *(self._stored.keys() - reports.keys())]:
             self._suspects.pop(fingerprint, None)
@@ -215,12 +231,12 @@
         return tuple(suspect.starts) if suspect is not None else ()
 
     def _add(self, report: CrashReport, *, known: str) -> _Suspect:
-        self._forget_old()
+        self._expire_suspects()
         fingerprint = report.fingerprint
-        # Moved to the end: the oldest are forgotten first.
+        # Suspects are ordered by their latest crash, so that the oldest expire first.
         suspect = self._suspects.pop(fingerprint, None) or _Suspect(report)
         self._suspects[fingerprint] = suspect
-        suspect.last_at = trio.current_time()
+        suspect.last_crash_at = trio.current_time()
         before = len(suspect.starts)
         suspect.add(report.starts)
         log_event(
@@ -230,17 +246,17 @@
             servers=",".join(start.server_id for start in report.starts),
             known=known,
         )
-        if before < CRASHES <= len(suspect.starts):
+        if before < QUARANTINE_CRASH_COUNT <= len(suspect.starts):
             _log_quarantined(suspect.report, known=known)
-            self._found.set()
-            self._found = trio.Event()
+            self._unstored_added.set()
+            self._unstored_added = trio.Event()
         return suspect
 
-    def _forget_old(self) -> None:
-        oldest_at = trio.current_time() - SUSPECT_S
+    def _expire_suspects(self) -> None:
+        oldest_at = trio.current_time() - SUSPECT_TTL_S
         while self._suspects:
             fingerprint, suspect = next(iter(self._suspects.items()))
-            if len(self._suspects) < MOST_SUSPECTS and suspect.last_at >= oldest_at:
+            if len(self._suspects) < MAX_SUSPECTS and suspect.last_crash_at >= oldest_at:
                 return
             self._clear(fingerprint)
 
@@ -248,8 +264,8 @@
         suspect = self._suspects.pop(fingerprint)
         log_event("crash-suspect-cleared", digest=fingerprint, crashes=len(suspect.starts))
 
-    def _tell(self, suspect: _Suspect) -> None:
-        suspect.told = True
+    def _broadcast(self, suspect: _Suspect) -> None:
+        suspect.is_broadcast = True
         self._others.broadcast_crashes(suspect.report)
 
 
--- a/src/wagtailpoint/quarantine/stored.py
+++ b/src/wagtailpoint/quarantine/stored.py
@@ -1,4 +1,4 @@
-"""Quarantined requests in the platform's store, so that they outlive every process."""
+"""Storage of quarantined requests on the platform, so that they outlast all processes."""
 
 from collections.abc import Callable, Mapping
 from random import Random
@@ -17,33 +17,33 @@
 KIND: Final = "wagtailpoint-quarantine"
 
 WRITE_INTERVAL_S: Final = 0.5
-"""Between two writes of one instance."""
+"""Minimum interval between two writes of one instance."""
 
-LEAST_WRITE_DELAY_S: Final = 0.02
-MOST_WRITE_DELAY_S: Final = 1.0
-"""All instances find it at about the same moment. Whoever draws the shortest delay writes, and the
-others see that in the store before theirs is over."""
+MIN_WRITE_DELAY_S: Final = 0.02
+MAX_WRITE_DELAY_S: Final = 1.0
+"""All instances quarantine a request at about the same time. The instance with the shortest random
+delay writes it, and the others see it in the store before their delays end."""
 
-LIFETIME_S: Final = 24 * 3600.0
-MOST_STORED: Final = 500
-"""Kept in the store for so long, in seconds, and so many at most: the software that crashed may
-have been mended, and nothing expires there by itself."""
+RETENTION_S: Final = 24 * 3600.0
+MAX_STORED: Final = 500
+"""Limits on the age and number of quarantined requests in the store. The fault of the crashed
+software may have been fixed since, and objects in the store do not expire by themselves."""
 
 CLEAN_INTERVAL_S: Final = 60.0
 
 
 class _Value(msgspec.Struct):
-    """A quarantined request as the store keeps it, under its fingerprint."""
+    """Stored form of a quarantined request; the name of the object is the fingerprint."""
 
     method: str
     host: str
     target: str
-    # Id and start, in milliseconds since 1970, of each backend server that it crashed.
+    # Id and start time, in milliseconds since 1970, of each backend server that crashed.
     servers: list[tuple[str, int]]
 
 
 def decode_report(stored: StoredObject) -> CrashReport | None:
-    """Read a quarantined request; None, with a log line, if it can't be read."""
+    """Decode a quarantined request; log a warning and return None if it is invalid."""
     try:
         value = msgspec.convert(stored.value, _Value)
     except msgspec.ValidationError as error:
@@ -54,13 +54,13 @@
 
 
 def encode_report(report: CrashReport) -> Any:
-    """What the store keeps of a quarantined request."""
+    """Return the value stored for a quarantined request."""
     servers = [(start.server_id, start.started_ms) for start in report.starts]
     return msgspec.to_builtins(_Value(report.method, report.host, report.target, servers))
 
 
 class StoredQuarantine:
-    """Writes what is found to the store, and removes what is old."""
+    """Writes quarantined requests to the store and removes expired ones."""
 
     def __init__(
         self,
@@ -70,47 +70,54 @@
         has_duty: Callable[[], bool],
         random: Random,
     ) -> None:
-        """Make it.
+        """Initialise the storage of a quarantine.
 
         Args:
-            platform: The store.
-            quarantine: Finds the requests, and is told what the store lists.
-            has_duty: Whether this instance removes for all what is old.
-            random: For the jitter.
+            platform: Access to the store.
+            quarantine: Its requests are written, and the listings of the store are applied to it.
+            has_duty: Returns whether this instance is the one that removes expired requests.
+            random: Source of randomness for delays.
         """
         self._platform = platform
         self._quarantine = quarantine
         self._has_duty = has_duty
         self._random = random
         self._listed: Mapping[str, StoredObject] = {}
-        self._known_since: dict[str, float] = {}
-        self._written: dict[str, int] = {}
+        self._first_seen_at: dict[str, float] = {}
+        self._written_versions: dict[str, int] = {}
 
     def apply_listing(self, state: KindState) -> None:
-        """Take in what the store lists."""
+        """Apply a listing of the store."""
         self._listed = dict(state.objects)
         now = trio.current_time()
-        self._known_since = {name: self._known_since.get(name, now) for name in state.objects}
-        read = {name: decode_report(each) for name, each in state.objects.items()}
+        self._first_seen_at = {name: self._first_seen_at.get(name, now) for name in state.objects}
+        read = {name: decode_report(stored) for name, stored in state.objects.items()}
         reports = {name: report for name, report in read.items() if report is not None}
-        # Written and not listed: removed again, unless what is listed is older than the write.
-        seen = [name for name, version in self._written.items() if version <= state.version]
+        # A request that was written and is not listed has been removed, unless the listing is older
+        # than the write.
+        seen = [
+            name for name, version in self._written_versions.items() if version <= state.version
+        ]
         for name in seen:
-            del self._written[name]
-        self._quarantine.take_stored(reports, lifted=[each for each in seen if each not in reports])
+            del self._written_versions[name]
+        self._quarantine.apply_stored(
+            reports, lifted=[fingerprint for fingerprint in seen if fingerprint not in reports]
+        )
 
     async def run(self) -> None:
-        """Write and remove until cancelled."""
+        """Write quarantined requests and remove expired ones until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._write)
-            nursery.start_soon(self._clean)
+            nursery.start_soon(self._write_unstored)
+            nursery.start_soon(self._remove_expired)
 
-    async def _write(self) -> None:
+    async def _write_unstored(self) -> None:
         while True:
             await self._quarantine.wait_unstored()
-            await trio.sleep(self._random.uniform(LEAST_WRITE_DELAY_S, MOST_WRITE_DELAY_S))
+            await trio.sleep(self._random.uniform(MIN_WRITE_DELAY_S, MAX_WRITE_DELAY_S))
             unwritten = [
-                each for each in self._quarantine.unstored if each.fingerprint not in self._written
+                report
+                for report in self._quarantine.unstored
+                if report.fingerprint not in self._written_versions
             ]
             if unwritten:
                 await self._put(unwritten[0])
@@ -122,30 +129,30 @@
             kind=KIND, name=name, value=encode_report(report), if_version=ABSENT
         )
         if not isinstance(written, Err):
-            self._written[name] = written.ok_value.version
+            self._written_versions[name] = written.ok_value.version
             log_event("quarantine-written", digest=name, version=written.ok_value.version)
         elif isinstance(written.err_value, Conflict) and written.err_value.current is not None:
-            # Another instance wrote it; the store tells soon.
-            self._written[name] = written.err_value.current.version
+            # Another instance wrote it; a later listing of the store contains it.
+            self._written_versions[name] = written.err_value.current.version
         else:
             log_event(
                 "quarantine-not-written", level="WARNING", digest=name, error=written.err_value
             )
 
-    async def _clean(self) -> None:
+    async def _remove_expired(self) -> None:
         while True:
             await trio.sleep(CLEAN_INTERVAL_S * self._random.uniform(0.8, 1.2))
             if self._has_duty():
-                for stored in self._outdated():
+                for stored in self._expired():
                     removed = await self._platform.delete(
                         kind=KIND, name=stored.name, if_version=stored.version
                     )
                     log_event("quarantine-removed", digest=stored.name, removed=removed.is_ok())
 
-    def _outdated(self) -> list[StoredObject]:
-        """Those that are too old, and the oldest of too many."""
+    def _expired(self) -> list[StoredObject]:
+        """Return the requests to remove: those too old, and the oldest above the limit."""
         now = trio.current_time()
-        by_age = sorted(self._listed.values(), key=lambda each: each.version)
-        too_many = by_age[: max(0, len(by_age) - MOST_STORED)]
-        old = [each for each in by_age if now - self._known_since[each.name] >= LIFETIME_S]
-        return list({each.name: each for each in [*too_many, *old]}.values())
+        by_age = sorted(self._listed.values(), key=lambda stored: stored.version)
+        too_many = by_age[: max(0, len(by_age) - MAX_STORED)]
+        old = [stored for stored in by_age if now - self._first_seen_at[stored.name] >= RETENTION_S]
+        return list({stored.name: stored for stored in [*too_many, *old]}.values())
--- a/tests/common/crashing_servers.py
+++ b/tests/common/crashing_servers.py
@@ -1,4 +1,4 @@
-"""Stand-ins of backend servers that end when they begin to run a certain request."""
+"""Stand-in backend servers that crash when they run certain requests."""
 
 from itertools import count
 from typing import NamedTuple
@@ -12,12 +12,12 @@
 
 
 class Crash(NamedTuple):
-    """A request that ended the backend server that ran it.
+    """A crash of a backend server caused by a request.
 
     Attributes:
-        time_s: When, by trio's clock.
+        time_s: When it happened, by trio's clock.
         target: Path and query of the request.
-        server_id: The start of the backend server that it ended.
+        server_id: Id of the backend server that crashed.
     """
 
     time_s: float
@@ -26,35 +26,37 @@
 
 
 class CrashingServers:
-    """Backend servers of the service ``desk``, each started again under a new id after a crash.
+    """Backend servers of the service ``desk``, each restarted under a new id after a crash.
 
     Attributes:
-        crashes: In the order in which they happened.
-        poison: A request whose target contains this ends the backend server that runs it.
+        crashes: All crashes in chronological order.
+        crash_marker: A request whose target contains this text crashes its backend server.
     """
 
-    def __init__(self, *, store: UsersStore, poison: str, down_s: float, runs_s: float) -> None:
-        """Make none yet.
+    def __init__(
+        self, *, store: UsersStore, crash_marker: str, down_s: float, runs_s: float
+    ) -> None:
+        """Initialise without starting any backend server.
 
         Args:
-            store: Where they register.
-            poison: See there.
-            down_s: For how long a backend server is away after a crash.
-            runs_s: How long each request runs, until its answer or the crash.
+            store: Store in which the backend servers are registered.
+            crash_marker: Text in the target of requests that crash a backend server.
+            down_s: Time between a crash and the restart, in seconds.
+            runs_s: Time from the start of a request to its answer or crash, in seconds.
         """
         self.crashes: list[Crash] = []
-        self.poison = poison
+        self.crash_marker = crash_marker
         self._store = store
         self._down_s = down_s
         self._runs_s = runs_s
         self._numbers = count(1)
 
-    def crashed(self, target: str) -> list[Crash]:
-        """The crashes by requests with this target."""
-        return [each for each in self.crashes if each.target == target]
+    def crashes_by(self, target: str) -> list[Crash]:
+        """Return the crashes caused by requests with a target."""
+        return [crash for crash in self.crashes if crash.target == target]
 
     async def run(self, servers: int) -> None:
-        """Run so many of them until cancelled."""
+        """Run a number of backend servers until cancelled."""
         async with trio.open_nursery() as nursery:
             for _ in range(servers):
                 nursery.start_soon(self._run_one)
@@ -66,17 +68,17 @@
             port = listeners[0].socket.getsockname()[1]
             server_id = f"i-{next(self._numbers)}"
             self._store.put("servers", server_id, server_document(f"{address}:{port}"))
-            await _Start(servers=self, server_id=server_id).serve(listeners)
+            await _ServerProcess(servers=self, server_id=server_id).serve(listeners)
             await trio.sleep(self._down_s)
             self._store.delete("servers", server_id)
 
-    async def work(self) -> None:
-        """Take the time that a request runs."""
+    async def simulate_work(self) -> None:
+        """Sleep for the time that a request runs."""
         await trio.sleep(self._runs_s)
 
 
-class _Start:
-    """One start of a backend server, until its crash."""
+class _ServerProcess:
+    """A process of a backend server, from its start to its crash."""
 
     def __init__(self, *, servers: CrashingServers, server_id: str) -> None:
         self._servers = servers
@@ -84,7 +86,7 @@
         self._scope = trio.CancelScope()
 
     async def serve(self, listeners: list[trio.SocketListener]) -> None:
-        """Serve until a request ends it; then nobody listens, and all connections are reset."""
+        """Serve until a request causes a crash, then stop listening and reset all connections."""
         with self._scope:
             await trio.serve_listeners(self._serve_connection, listeners)
         for listener in listeners:
@@ -104,9 +106,9 @@
             head = request.partition(b"\r\n\r\n")[0].decode()
             line, *headers = head.split("\r\n")
             target = line.split(" ")[1]
-            fields = dict(each.lower().split(": ", 1) for each in headers)
-            await self._servers.work()
-            if self._servers.poison in target:
+            fields = dict(header.lower().split(": ", 1) for header in headers)
+            await self._servers.simulate_work()
+            if self._servers.crash_marker in target:
                 crash = Crash(trio.current_time(), target, self._server_id)
                 self._servers.crashes.append(crash)
                 self._scope.cancel()
--- a/tests/cover/test_crashing_request.py
+++ b/tests/cover/test_crashing_request.py
@@ -1,4 +1,4 @@
-"""One instance and requests whose connections to backend servers end."""
+"""Tests of one instance whose connections to backend servers are reset."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -22,7 +22,7 @@
     b"POST /r/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: 1\r\nContent-Length: 2\r\n"
     b"Connection: close\r\n\r\n{}"
 )
-GET_DIGEST = fingerprint(method="GET", host="h", target="/r/x", body=b"")
+GET_FINGERPRINT = fingerprint(method="GET", host="h", target="/r/x", body=b"")
 
 
 class CrashingRequestTest(unittest.TestCase):
@@ -40,7 +40,8 @@
                 async with trio.open_nursery() as nursery:
                     servers = [await nursery.start(self.serve) for _ in range(SERVERS)]
                     self.parts.fleet.update(
-                        make_server(f"i-{number}", each) for number, each in enumerate(servers)
+                        make_server(f"i-{number}", address)
+                        for number, address in enumerate(servers)
                     )
                     await self.parts.run_with(test)
                     nursery.cancel_scope.cancel()
@@ -48,7 +49,7 @@
         trio.run(run)
 
     async def serve(self, *, task_status: trio.TaskStatus[BackendAddress]) -> None:
-        """Reset the connection of each request, and with ``crashes`` listen no more after that."""
+        """Reset the connection of each request; with ``crashes``, also stop listening."""
         address = loopback_address()
         (listener,) = await trio.open_tcp_listeners(0, host=address)
         task_status.started(BackendAddress(address, listener.socket.getsockname()[1]))
@@ -66,7 +67,7 @@
 
             await trio.serve_listeners(serve_one, [listener], handler_nursery=nursery)
 
-    async def ask(self, endpoint: Endpoint, request: bytes = GET) -> bytes:
+    async def send(self, endpoint: Endpoint, request: bytes = GET) -> bytes:
         async with await trio.open_tcp_stream(*endpoint) as stream:
             await stream.send_all(request)
             reply = b""
@@ -75,48 +76,48 @@
             return reply
 
     def admission(self) -> Admission:
-        return self.parts.quarantine.admission(GET_DIGEST)
+        return self.parts.quarantine.admission(GET_FINGERPRINT)
 
-    def test_request_that_crashed_three_is_refused_at_once(self) -> None:
-        """Guards against a request that ends one backend server after the other."""
+    def test_request_is_refused_after_three_crashes(self) -> None:
+        """Guards against a request that crashes one backend server after the other."""
 
         async def test(endpoint: Endpoint) -> None:
-            replies = [await self.ask(endpoint) for _ in range(4)]
-            self.assertEqual([each[9:12] for each in replies], [b"502", b"502", b"503", b"503"])
+            replies = [await self.send(endpoint) for _ in range(4)]
+            self.assertEqual([reply[9:12] for reply in replies], [b"502", b"502", b"503", b"503"])
             self.assertIn(b"retry-after: 60", replies[3])
             self.assertEqual(self.requests, 3)
             self.assertIs(self.admission(), Admission.QUARANTINED)
 
         self.run_with(test)
 
-    def test_request_that_may_run_once_is_refused_too(self) -> None:
-        """Guards against a refusal as not run of a request that has run."""
+    def test_non_idempotent_request_is_refused_after_three_crashes(self) -> None:
+        """Guards against the verdict "not run" for a request that has run."""
         self.parts = SteeringParts(make_table(make_route(kind=RouteKind.NON_IDEMPOTENT)))
 
         async def test(endpoint: Endpoint) -> None:
-            replies = [await self.ask(endpoint, POST) for _ in range(4)]
-            self.assertEqual([each[9:12] for each in replies], [b"502", b"502", b"502", b"503"])
+            replies = [await self.send(endpoint, POST) for _ in range(4)]
+            self.assertEqual([reply[9:12] for reply in replies], [b"502", b"502", b"502", b"503"])
             self.assertEqual(self.requests, 3)
 
         self.run_with(test)
 
-    def test_connection_to_a_sound_backend_server_is_no_crash(self) -> None:
-        """Guards against shutting out requests for a faulty network's sake."""
+    def test_reset_by_a_running_backend_server_is_not_a_crash(self) -> None:
+        """Guards against a quarantine of requests because of network faults."""
         self.crashes = False
 
         async def test(endpoint: Endpoint) -> None:
             for _ in range(4):
-                await self.ask(endpoint)
+                await self.send(endpoint)
             self.assertEqual(self.parts.quarantine.suspects, 0)
 
         self.run_with(test)
 
-    def test_backend_server_that_leaves_has_not_crashed(self) -> None:
-        """Guards against taking planned stops of backend servers for crashes."""
+    def test_planned_stop_of_a_backend_server_is_not_a_crash(self) -> None:
+        """Guards against planned stops of backend servers counted as crashes."""
         self.leave_first = True
 
         async def test(endpoint: Endpoint) -> None:
-            await self.ask(endpoint)
+            await self.send(endpoint)
             self.assertEqual((self.requests, self.parts.quarantine.suspects), (1, 0))
 
         self.run_with(test)
--- a/tests/integration/test_crashing_requests.py
+++ b/tests/integration/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""Requests that end the backend servers that run them, on several instances."""
+"""Tests of requests that crash backend servers, with several instance processes."""
 
 import unittest
 from collections.abc import Awaitable, Callable, Sequence
@@ -17,21 +17,21 @@
 INSTANCES = 3
 SERVERS = 12
 SETTLE_S = 3.0
-"""So long after the third crash every instance has heard of it."""
+"""Time after the third crash by which all instances know of it."""
 
-MOST_AFTER_THIRD = 3
-IN_FORCE_S = 5.0
-PAUSE_S = 0.15
-ASKS_S = 6.0
-POISON = "/look/7/dead"
+MAX_LATE_CRASHES = 3
+APPLY_TIMEOUT_S = 5.0
+REQUEST_INTERVAL_S = 0.15
+SENDING_S = 6.0
+CRASHING_TARGET = "/look/7/dead"
 
 
-class Asked(NamedTuple):
-    """What became of a good request.
+class SentRequest(NamedTuple):
+    """The result of a harmless request.
 
     Attributes:
-        target: Its path.
-        status: The status that its caller got.
+        target: Path of the request.
+        status: HTTP status that the caller received.
     """
 
     target: str
@@ -41,7 +41,9 @@
 class CrashingRequestsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.store = UsersStore()
-        self.servers = CrashingServers(store=self.store, poison="dead", down_s=1.3, runs_s=0.05)
+        self.servers = CrashingServers(
+            store=self.store, crash_marker="dead", down_s=1.3, runs_s=0.05
+        )
 
     def run_with(self, test: Callable[[list[Instance]], Awaitable[None]]) -> None:
         async def run() -> None:
@@ -56,83 +58,87 @@
 
         trio.run(run)
 
-    async def ask_in_turn(self, instances: Sequence[Instance], for_s: float) -> None:
-        """Send the request again and again, to one instance after the other."""
-        ends_at = trio.current_time() + for_s
+    async def send_in_turn(self, instances: Sequence[Instance], duration_s: float) -> None:
+        """Send the crashing request repeatedly, to one instance after the other."""
+        end_at = trio.current_time() + duration_s
         for instance in cycle(instances):
-            if trio.current_time() > ends_at:
+            if trio.current_time() > end_at:
                 return
-            await instance.status_of(POISON)
-            await trio.sleep(PAUSE_S)
+            await instance.status_of(CRASHING_TARGET)
+            await trio.sleep(REQUEST_INTERVAL_S)
 
-    def late(self) -> Sequence[Crash]:
-        """The crashes that came after all instances could know of the third."""
-        crashes = self.servers.crashed(POISON)
+    def late_crashes(self) -> Sequence[Crash]:
+        """Return the crashes that happened after all instances should know of the third one."""
+        crashes = self.servers.crashes_by(CRASHING_TARGET)
         self.assertGreaterEqual(len(crashes), 3)
-        return [each for each in crashes if each.time_s > crashes[2].time_s + SETTLE_S]
+        return [crash for crash in crashes if crash.time_s > crashes[2].time_s + SETTLE_S]
 
-    def test_request_that_crashes_backend_servers_is_kept_from_them(self) -> None:
-        """Guards against a request that ends one backend server after the other."""
+    def test_crashing_request_is_quarantined(self) -> None:
+        """Guards against a request that crashes one backend server after the other."""
 
         async def test(instances: list[Instance]) -> None:
-            await self.ask_in_turn(instances, SETTLE_S + ASKS_S)
-            self.assertLessEqual(len(self.late()), MOST_AFTER_THIRD)
+            await self.send_in_turn(instances, SETTLE_S + SENDING_S)
+            self.assertLessEqual(len(self.late_crashes()), MAX_LATE_CRASHES)
 
         self.run_with(test)
 
-    def test_instances_that_start_later_keep_it_from_backend_servers(self) -> None:
-        """Guards against a restart of all instances that forgets which requests crash."""
+    def test_quarantine_outlasts_a_restart_of_all_instances(self) -> None:
+        """Guards against a quarantine that is lost when all instances restart."""
 
         async def test(instances: list[Instance]) -> None:
-            await self.ask_in_turn(instances, SETTLE_S)
-            for each in instances:
-                each.process.kill()
-            for each in instances:
-                each.process.start()
+            await self.send_in_turn(instances, SETTLE_S)
+            for instance in instances:
+                instance.process.kill()
+            for instance in instances:
+                instance.process.start()
             await until(lambda: all_serve(instances, 200), LIMIT_S / 2, "all serve again")
-            await self.ask_in_turn(instances, ASKS_S)
-            self.assertLessEqual(len(self.late()), MOST_AFTER_THIRD)
+            await self.send_in_turn(instances, SENDING_S)
+            self.assertLessEqual(len(self.late_crashes()), MAX_LATE_CRASHES)
 
         self.run_with(test)
 
-    def test_lifted_request_is_served_by_all(self) -> None:
-        """Guards against instances that go on refusing what an operator has lifted."""
+    def test_lifted_request_is_served_by_all_instances(self) -> None:
+        """Guards against instances that still refuse a request whose quarantine was lifted."""
 
         async def test(instances: list[Instance]) -> None:
-            await self.ask_in_turn(instances, SETTLE_S)
-            self.servers.poison = "none"
+            await self.send_in_turn(instances, SETTLE_S)
+            self.servers.crash_marker = "none"
             (digest,) = self.store.names(KIND)
-            self.assertEqual([await each.status_of(POISON) for each in instances], [503] * 3)
+            self.assertEqual(
+                [await item.status_of(CRASHING_TARGET) for item in instances], [503] * 3
+            )
             self.store.delete(KIND, digest)
 
-            async def served() -> bool:
-                return all([await each.status_of(POISON) == 200 for each in instances])
+            async def all_serve_it() -> bool:
+                return all([await item.status_of(CRASHING_TARGET) == 200 for item in instances])
 
-            await until(served, IN_FORCE_S, "all serve it")
+            await until(all_serve_it, APPLY_TIMEOUT_S, "all serve it")
 
         self.run_with(test)
 
-    def test_good_requests_are_answered_beside_it(self) -> None:
-        """Guards against shutting out the requests that met a crash without causing it."""
-        asked: list[Asked] = []
+    def test_harmless_requests_are_answered_during_crashes(self) -> None:
+        """Guards against a quarantine of requests that were interrupted by crashes of others."""
+        sent: list[SentRequest] = []
 
-        async def ask_good(instance: Instance, caller: int) -> None:
+        async def send_harmless(instance: Instance, caller: int) -> None:
             for number in range(30):
                 target = f"/look/{number % 5}/{caller}"
-                asked.append(Asked(target, await instance.status_of(target)))
-                await trio.sleep(PAUSE_S)
+                sent.append(SentRequest(target, await instance.status_of(target)))
+                await trio.sleep(REQUEST_INTERVAL_S)
 
         async def test(instances: list[Instance]) -> None:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self.ask_in_turn, instances, ASKS_S)
+                nursery.start_soon(self.send_in_turn, instances, SENDING_S)
                 for caller in range(6):
-                    nursery.start_soon(ask_good, instances[caller % INSTANCES], caller)
-            shut_out = "event=request-quarantined "
-            named = [line for each in instances for line in each.process.log.splitlines()]
-            found = {line.split("target=")[1] for line in named if shut_out in line}
-            self.assertEqual(found, {POISON})
-            answered = sum(each.status == 200 for each in asked)
-            self.assertGreaterEqual(answered, 0.9 * len(asked))
+                    nursery.start_soon(send_harmless, instances[caller % INSTANCES], caller)
+            event = "event=request-quarantined "
+            log_lines = [
+                line for instance in instances for line in instance.process.log.splitlines()
+            ]
+            targets = {line.split("target=")[1] for line in log_lines if event in line}
+            self.assertEqual(targets, {CRASHING_TARGET})
+            answered = sum(request.status == 200 for request in sent)
+            self.assertGreaterEqual(answered, 0.9 * len(sent))
 
         self.run_with(test)
 
