--- a/src/wagtailpoint/health/__init__.py
+++ b/src/wagtailpoint/health/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions on the health of backend servers, from evidence that ages."""
+"""Health of backend servers, derived from evidence that loses weight with age."""
 
 from wagtailpoint.health.board import HealthBoard
 from wagtailpoint.health.evidence import Outcome, outcome_of
--- a/src/wagtailpoint/health/board.py
+++ b/src/wagtailpoint/health/board.py
@@ -1,4 +1,4 @@
-"""Which backend servers get new work."""
+"""Selection of the backend servers that may get new requests."""
 
 from collections.abc import Callable, Sequence
 from statistics import median
@@ -9,134 +9,145 @@
 from wagtailpoint.ports.backend import BackendAddress, LoadReport
 from wagtailpoint.ports.clock import Clock
 
-MOST_EJECTED = 0.5
-"""The part of a group that may be ejected at the same time.
+MAX_EJECTED_FRACTION = 0.5
+"""Maximum fraction of a group that may be ejected at the same time.
 
-Evidence can be wrong for many at once: a pause of our own process looks like a timeout of all of
-them. Without this cap the few that are left would be given all of the traffic and fail too.
+Evidence can be wrong for many backend servers at once: a pause of this process looks like a timeout
+of all of them. Without this cap the remaining few would get all requests and fail too.
 """
 
 SLOW_FACTOR = 8.0
-"""So many times slower than its group's median is ejected. Less is left to the choice by load."""
+"""A backend server is ejected if its latency exceeds the median of its group by this factor.
+Smaller differences are handled by load balancing."""
 
-LEAST_SLOW_S = 0.25
-"""Nothing faster than this is called slow, in seconds."""
+MIN_SLOW_S = 0.25
+"""A backend server with a lower average latency is never regarded as slow."""
 
-JUDGE_EVERY_S = 1.0
-"""How often the latencies of a group are compared, in seconds."""
+LATENCY_CHECK_INTERVAL_S = 1.0
+"""Interval between two comparisons of the latencies of a group."""
 
 
 class HealthBoard:
-    """The health of all backend servers, as seen by this instance."""
+    """Keeps the health of all backend servers, as seen by this instance."""
 
-    def __init__(self, *, clock: Clock, most_ejected: float = MOST_EJECTED) -> None:
-        """Make a board on which all are healthy.
+    def __init__(self, *, clock: Clock, max_ejected_fraction: float = MAX_EJECTED_FRACTION) -> None:
+        """Initialise the board with all backend servers healthy.
 
         Args:
             clock: The instance's clock.
-            most_ejected: The part of a group (0 to 1) that may be ejected at the same time.
+            max_ejected_fraction: Maximum fraction (0 to 1) of a group that may be ejected at once.
         """
         self._clock = clock
-        self._most_ejected = most_ejected
+        self._max_ejected_fraction = max_ejected_fraction
         self._health: dict[BackendAddress, ServerHealth] = {}
-        self._judged_at: dict[tuple[BackendServer, ...], float] = {}
+        self._latencies_checked_at: dict[tuple[BackendServer, ...], float] = {}
         self._draining_callbacks: list[Callable[[BackendAddress], None]] = []
 
     def on_draining(self, callback: Callable[[BackendAddress], None]) -> None:
-        """Call ``callback``, which must not block, when an answer says "draining" first."""
+        """Call ``callback`` when an answer of a backend server first says that it is draining.
+
+        The callback must not block.
+        """
         self._draining_callbacks.append(callback)
 
     def observe_outcome(self, server: BackendAddress, outcome: Outcome, latency_s: float) -> None:
-        """Take in how one of our own exchanges ended, after so many seconds."""
-        health = self._of(server)
-        known = health.said_draining
+        """Record the outcome of an exchange of this instance and its latency in seconds."""
+        health = self._health_of(server)
+        known = health.has_drain_answer
         health.observe_outcome(outcome, latency_s)
-        if health.said_draining and not known:
+        if health.has_drain_answer and not known:
             for callback in self._draining_callbacks:
                 callback(server)
 
-    def learn_draining(self, server: BackendAddress) -> None:
-        """Take in that an answer to another instance's request said "draining"."""
-        self._of(server).observe_outcome(Outcome.DRAINING, 0.0)
+    def apply_peer_draining(self, server: BackendAddress) -> None:
+        """Record that a backend server told another instance that it is draining."""
+        self._health_of(server).observe_outcome(Outcome.DRAINING, 0.0)
 
     def observe_report(self, server: BackendAddress, report: LoadReport) -> None:
-        """Take in what a backend server says of itself."""
-        self._of(server).observe_report(report)
+        """Record a load report of a backend server."""
+        self._health_of(server).observe_report(report)
 
     def state_of(self, server: BackendAddress) -> State:
-        """Whether a backend server gets new work, but for the cap on ejections."""
-        return self._of(server).state
+        """Return the state of a backend server, regardless of the cap on ejections."""
+        return self._health_of(server).state
 
     def report_of(self, server: BackendAddress) -> LoadReport | None:
-        """A backend server's newest report; None if there is none or it is too old."""
-        return self._of(server).report
+        """Return the newest load report of a backend server; None if it is stale or missing."""
+        return self._health_of(server).report
 
     def usable(self, servers: Sequence[BackendServer]) -> tuple[BackendServer, ...]:
-        """The backend servers to choose from for the next request.
+        """Return the backend servers that may get the next request.
 
         Args:
             servers: All backend servers of one group of a service.
 
         Returns:
-            Those that may get new work; empty only if all of them said that they are draining.
+            The usable backend servers; empty only if all have answered that they are draining.
         """
         group = tuple(servers)
-        self._judge_latencies(group)
+        self._eject_slow(group)
         doubtful = {
-            each.address: health
-            for each in group
-            if not (health := self._of(each.address)).unblemished
+            server.address: health
+            for server in group
+            if not (health := self._health_of(server.address)).is_known_healthy
         }
         if not doubtful:
             return group
-        kept_out = self._kept_out(doubtful, len(group))
-        return tuple(each for each in group if each.address not in kept_out)
+        excluded = self._excluded(doubtful, len(group))
+        return tuple(server for server in group if server.address not in excluded)
 
     def retain(self, kept: Sequence[BackendAddress]) -> None:
-        """Drop what is known of backend servers that left the configuration."""
+        """Remove the health of all backend servers other than those in ``kept``."""
         known = set(kept)
         self._health = {key: value for key, value in self._health.items() if key in known}
-        self._judged_at.clear()
+        self._latencies_checked_at.clear()
 
-    def _kept_out(
+    def _excluded(
         self, doubtful: dict[BackendAddress, ServerHealth], group_size: int
     ) -> set[BackendAddress]:
-        """Which of the doubtful backend servers of a group get no new work."""
-        draining = {key for key, health in doubtful.items() if health.said_draining}
-        reporting = {key for key, health in doubtful.items() if health.reports_draining}
+        """Return the doubtful backend servers of a group that get no new requests."""
+        draining = {key for key, health in doubtful.items() if health.has_drain_answer}
+        reporting = {key for key, health in doubtful.items() if health.has_drain_report}
         if len(draining | reporting) == group_size:
-            # All drain, or the reports are broken: a request finds out by a shed answer, which
-            # costs nothing, while to believe a wrong report would stop the service.
+            # Either all are draining or the reports are wrong. Believing wrong reports would stop
+            # the service, whereas a request to a draining backend server is merely shed.
             return draining
         draining |= reporting
-        staying = {key: health for key, health in doubtful.items() if key not in draining}
-        return draining | self._refused(staying, group_size - len(draining))
+        not_draining = {key: health for key, health in doubtful.items() if key not in draining}
+        return draining | self._excluded_by_faults(not_draining, group_size - len(draining))
 
-    def _refused(
-        self, staying: dict[BackendAddress, ServerHealth], candidates: int
+    def _excluded_by_faults(
+        self, not_draining: dict[BackendAddress, ServerHealth], candidates: int
     ) -> set[BackendAddress]:
-        """The ejected ones, and those on trial whose turn it is not, within the cap."""
-        refused = {key for key, health in staying.items() if not health.offer()}
-        out = [key for key, health in staying.items() if health.state is not State.HEALTHY]
-        if len(out) == candidates:
-            # All look dead: it is the measurement that is broken.
+        """Return the ejected and the not offered backend servers, up to the cap."""
+        refused = {key for key, health in not_draining.items() if not health.should_offer()}
+        unhealthy = [
+            key for key, health in not_draining.items() if health.state is not State.HEALTHY
+        ]
+        if len(unhealthy) == candidates:
+            # If all look faulty, the evidence is more likely wrong than all backend servers.
             return set()
-        too_many = len(out) - int(self._most_ejected * candidates)
-        if too_many > 0:
-            out.sort(key=lambda key: (staying[key].state is State.EJECTED, staying[key].faults))
-            refused.difference_update(out[:too_many])
+        excess = len(unhealthy) - int(self._max_ejected_fraction * candidates)
+        if excess > 0:
+            unhealthy.sort(
+                key=lambda key: (not_draining[key].state is State.EJECTED, not_draining[key].faults)
+            )
+            refused.difference_update(unhealthy[:excess])
         return refused
 
-    def _judge_latencies(self, group: tuple[BackendServer, ...]) -> None:
+    def _eject_slow(self, group: tuple[BackendServer, ...]) -> None:
         now = self._clock.monotonic()
-        if now - self._judged_at.get(group, -JUDGE_EVERY_S) < JUDGE_EVERY_S:
+        if (
+            now - self._latencies_checked_at.get(group, -LATENCY_CHECK_INTERVAL_S)
+            < LATENCY_CHECK_INTERVAL_S
+        ):
             return
-        self._judged_at[group] = now
-        known = [self._of(each.address) for each in group]
-        latencies = [each.latency_s for each in known if each.latency_s is not None]
+        self._latencies_checked_at[group] = now
+        known = [self._health_of(server.address) for server in group]
+        latencies = [item.latency_s for item in known if item.latency_s is not None]
         if len(latencies) < 2 or len(latencies) <= len(group) / 2:
             return
-        limit_s = max(LEAST_SLOW_S, SLOW_FACTOR * median(latencies))
+        limit_s = max(MIN_SLOW_S, SLOW_FACTOR * median(latencies))
         for health in known:
             report = health.report
             cold = report is not None and not report.warm
@@ -144,7 +155,7 @@
             if slow and not cold and health.state is State.HEALTHY:
                 health.eject()
 
-    def _of(self, server: BackendAddress) -> ServerHealth:
+    def _health_of(self, server: BackendAddress) -> ServerHealth:
         health = self._health.get(server)
         if health is None:
             health = ServerHealth(clock=self._clock)
--- a/src/wagtailpoint/health/drain_broadcaster.py
+++ b/src/wagtailpoint/health/drain_broadcaster.py
@@ -1,10 +1,10 @@
-"""Tells the other instances which backend servers refuse work because they are draining.
+"""Broadcasts which backend servers refuse requests because they are draining.
 
-A backend server that drains without a declared drain says so only in its refusals, for its load
-reports lag or lie. An instance in another region may send it nothing for minutes, and then, when
-its own region is full, send a request to a backend server that should have been left alone. So
-whoever is refused tells all others at once: one small message each, and those who were told do not
-tell it on, which keeps the cost of a drain to a few messages for each instance.
+Without a declared drain, the only reliable sign of draining is a refusal, because load reports may
+lag or be wrong. An instance in another region may send a backend server nothing for minutes and
+then, when its own region is full, send it a request while it drains. Therefore an instance whose
+request is refused informs all others at once with one small message each. Received messages are
+not forwarded, so that a drain costs each instance few messages.
 """
 
 from collections.abc import Callable, Sequence
@@ -17,7 +17,11 @@
 
 
 class ServerDraining(NamedTuple):
-    """A backend server refused a request of the sender, because it is draining."""
+    """States that a backend server refused a request of the sender because it is draining.
+
+    Attributes:
+        server: Address of the backend server.
+    """
 
     server: BackendAddress
 
@@ -26,12 +30,12 @@
 
 
 class DrainBroadcaster:
-    """Passes what this instance's refusals say to its peers, and takes in what theirs say.
+    """Broadcasts drain refusals of this instance, and applies those received from peers.
 
     Args:
-        peers: Carry the news.
-        health: Hears of the refusals, and takes the news in.
-        others: Where the other instances that are not known to be dead are heard.
+        peers: Links to other instances, over which messages are sent.
+        health: Reports the refusals of this instance, and records those of its peers.
+        others: Returns the addresses of the other instances that are not known to be dead.
     """
 
     def __init__(
@@ -40,15 +44,15 @@
         self._peers = peers
         self._health = health
         self._others = others
-        health.on_draining(self._tell)
-        peers.handle(ServerDraining, self._on_news)
+        health.on_draining(self._broadcast)
+        peers.handle(ServerDraining, self._handle_message)
 
-    def _tell(self, server: BackendAddress) -> None:
+    def _broadcast(self, server: BackendAddress) -> None:
         log_event("server-draining", server=server, source="answer")
         for peer in self._others():
             self._peers.send(peer, ServerDraining(server))
 
-    def _on_news(self, received: Received) -> None:
+    def _handle_message(self, received: Received) -> None:
         server: BackendAddress = received.message.server
         log_event("server-draining", server=server, source=received.sender)
-        self._health.learn_draining(server)
+        self._health.apply_peer_draining(server)
--- a/src/wagtailpoint/health/evidence.py
+++ b/src/wagtailpoint/health/evidence.py
@@ -1,21 +1,21 @@
-"""What one exchange tells about a backend server's health."""
+"""Outcomes of exchanges as evidence of the health of a backend server."""
 
 from enum import Enum
 from functools import singledispatch
 
 from wagtailpoint.ports.backend import BackendFailure, BackendResponse, FailureReason
 
-PATIENCE_S = 1.0
-"""A timeout after so long counts in full, in seconds; after less, in proportion.
+FULL_WEIGHT_TIMEOUT_S = 1.0
+"""A timeout after this time or longer has full weight; a shorter one counts in proportion.
 
-Otherwise a caller that allows a few milliseconds would have healthy backend servers ejected.
+Otherwise a caller that allows only a few milliseconds could have healthy backend servers ejected.
 """
 
-FIRST_SERVER_ERROR = 500
+MIN_SERVER_ERROR_STATUS = 500
 
 
 class Outcome(Enum):
-    """How an exchange ended; the value is its weight as evidence of a fault."""
+    """How an exchange ended; the value holds its name and its weight as evidence of a fault."""
 
     ANSWERED = ("answered", 0.0)
     SERVER_ERROR = ("server-error", 0.5)
@@ -25,17 +25,17 @@
     RESET = ("reset", 1.0)
     TIMEOUT = ("timeout", 1.0)
     CROSSED = ("crossed", 1.0)
-    # A failed probe counts little: health endpoints mislead, own requests don't.
+    # A failed probe has little weight: health endpoints are less reliable than real requests.
     PROBE_FAILED = ("probe-failed", 0.25)
     UNKNOWN = ("unknown", 0.0)
 
     @property
     def weight(self) -> float:
-        """Its weight as evidence of a fault; 0 if it is none."""
+        """Weight as evidence of a fault; 0 if it is no evidence."""
         return self.value[1]
 
 
-_OF_REASON = {
+_OUTCOME_BY_REASON = {
     FailureReason.CONNECT_REFUSED: Outcome.CONNECT_FAILED,
     FailureReason.CONNECT_FAILED: Outcome.CONNECT_FAILED,
     FailureReason.CONNECT_TIMEOUT: Outcome.TIMEOUT,
@@ -48,13 +48,13 @@
 
 @singledispatch
 def outcome_of(answered: object) -> Outcome:
-    """The outcome of an exchange, from its response or its failure."""
-    raise TypeError(f"given {type(answered)}, expected a BackendResponse or a BackendFailure")
+    """Return the outcome of an exchange, given its response or its failure."""
+    raise TypeError(f"expected a BackendResponse or a BackendFailure, got {type(answered)}")
 
 
 @outcome_of.register
 def _(answered: BackendResponse) -> Outcome:
-    failed = answered.status >= FIRST_SERVER_ERROR
+    failed = answered.status >= MIN_SERVER_ERROR_STATUS
     return Outcome.SERVER_ERROR if failed else Outcome.ANSWERED
 
 
@@ -66,4 +66,4 @@
         return Outcome.SHED
     known = answered.reason in set(FailureReason)
     reason = FailureReason(answered.reason) if known else None
-    return Outcome.UNKNOWN if reason is None else _OF_REASON.get(reason, Outcome.UNKNOWN)
+    return Outcome.UNKNOWN if reason is None else _OUTCOME_BY_REASON.get(reason, Outcome.UNKNOWN)
