--- a/src/wagtailpoint/limits/__init__.py
+++ b/src/wagtailpoint/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Leases of objects of the platform."""
+"""Rate limits that instances share, and the leases that they are based on."""
--- a/src/wagtailpoint/limits/allowance.py
+++ b/src/wagtailpoint/limits/allowance.py
@@ -1,35 +1,35 @@
-"""What a workspace may send over all instances together, and the part that one of them spends.
+"""The rate limit of a workspace over all instances, and token buckets for fractions of it.
 
-Answers a workspace that sends many times what it may: what is beyond is refused at once, and what
-is within is admitted wherever it arrives.
+Requests beyond the limit are refused at once, and requests within it are admitted by whichever
+instance they reach.
 """
 
 from typing import Final, NamedTuple
 
-SLACK_PART: Final = 0.5
-"""The part of the slack that is given out. Small workspaces live by it: their requests come a few
-at a time, and a part of their burst holds less than one. The rest is for requests that are admitted
-at different times and reach backend servers together."""
+SLACK_FRACTION: Final = 0.5
+"""Fraction of the slack that the buckets give out. Small workspaces need it, because they send
+several requests at once, and a fraction of their burst is less than one request. The rest is
+reserved for requests that are admitted at different times and reach backend servers together."""
 
 
 class Allowance(NamedTuple):
     """A rate limit.
 
     Attributes:
-        rate_per_s: Requests a second.
-        burst: Requests beside that which may come at the same moment.
+        rate_per_s: Requests per second.
+        burst: Number of requests beyond the rate that may arrive at the same time.
     """
 
     rate_per_s: float
     burst: float
 
 
-class Taken(NamedTuple):
-    """What a bucket gave.
+class TakeResult(NamedTuple):
+    """Result of taking tokens from a bucket.
 
     Attributes:
-        tokens: So many requests may run.
-        wait_s: If none may, the seconds until one may.
+        tokens: Number of tokens taken; one request may run for each.
+        wait_s: Time in seconds until a token is available; 0 if any was taken.
     """
 
     tokens: int
@@ -37,9 +37,9 @@
 
 
 class AllowanceBucket:
-    """A token bucket with a part of an allowance.
+    """A token bucket for a fraction of an allowance.
 
-    It begins empty: whoever had the part before may just have spent all that it held.
+    It is empty initially, because a previous holder of the fraction may just have spent its tokens.
     """
 
     def __init__(self, *, now: float) -> None:
@@ -47,24 +47,25 @@
         self._filled_at = now
 
     def take(
-        self, allowance: Allowance, *, wanted: int = 1, part: float, slack: float, now: float
-    ) -> Taken:
-        """Spend tokens, as many as there are.
+        self, allowance: Allowance, *, wanted: int = 1, fraction: float, slack: float, now: float
+    ) -> TakeResult:
+        """Take tokens, up to the number available.
 
         Args:
-            allowance: As it is now; a lowered one takes what is above it at once.
-            wanted: How many, at least 1.
-            part: The part of it, 0 to 1.
-            slack: Requests in a window that all parts together may let through beside it.
-            now: The time, in seconds.
+            allowance: Current allowance; if it was lowered, tokens above its burst are dropped.
+            wanted: Number of tokens wanted, at least 1.
+            fraction: Fraction of the allowance that the bucket holds, 0 to 1.
+            slack: Number of requests in a window that all buckets together may admit beyond the
+                allowance.
+            now: Current time in seconds.
         """
-        rate = part * allowance.rate_per_s
-        depth = max(1.0, part * (allowance.burst + SLACK_PART * slack))
+        rate = fraction * allowance.rate_per_s
+        depth = max(1.0, fraction * (allowance.burst + SLACK_FRACTION * slack))
         elapsed_s = max(0.0, now - self._filled_at)
         self._filled_at = now
         self._tokens = min(depth, self._tokens + rate * elapsed_s)
         tokens = min(wanted, int(self._tokens))
         if tokens == 0:
-            return Taken(0, (1.0 - self._tokens) / rate)
+            return TakeResult(0, (1.0 - self._tokens) / rate)
         self._tokens -= tokens
-        return Taken(tokens, 0.0)
+        return TakeResult(tokens, 0.0)
--- a/src/wagtailpoint/limits/allowance_sharing.py
+++ b/src/wagtailpoint/limits/allowance_sharing.py
@@ -1,7 +1,7 @@
-"""Spends the allowances of workspaces: asks the holders of their slots, and answers as one.
+"""Sharing of allowances: takes tokens from the holders of slots, and grants them as a holder.
 
-A request asks for itself, and for as many as will come within the life of a grant at the rate of
-late: few tokens lie where nobody wants them.
+A request asks for one token, plus those for the requests expected within the lifetime of the grant
+at the recent rate, so that few granted tokens stay unused.
 """
 
 import math
@@ -13,32 +13,41 @@
 from result import Ok
 
 from wagtailpoint.limits.allowance import Allowance, AllowanceBucket
-from wagtailpoint.limits.allowance_slots import AllowanceSlots, Slot, all_slots, slots_of
+from wagtailpoint.limits.allowance_slots import AllowanceSlots, Slot, all_slots, slots_for_workspace
 from wagtailpoint.ports.clock import Clock
 from wagtailpoint.ports.peers import Peers, Received, register_message
 
-GRANT_S: Final = 0.5
-"""A token is spent so soon after it was asked for, or not at all; above a round trip between the
-regions that are furthest apart."""
+GRANT_TTL_S: Final = 0.5
+"""Time from the question after which a granted token is invalid. It exceeds the round trip between
+the regions that are furthest apart."""
 
-KEEP_LINKS_INTERVAL_S: Final = 10.0
-"""A link to a far holder takes several round trips to open, and is closed when it is not used."""
+LINK_KEEPALIVE_INTERVAL_S: Final = 10.0
+"""Interval of questions that keep links open: opening a link to a distant holder takes several
+round trips, and an unused link is closed."""
 
-LEAST_EMPTY_S: Final = 0.05
-"""An empty bucket is not asked again earlier: one that is pressed would be asked by all at once."""
+MIN_EMPTY_DELAY_S: Final = 0.05
+"""Minimum delay before an empty bucket is asked again, so that not all instances ask at once while
+it is in demand."""
 
-UNANSWERED_S: Final = 0.5
-"""Who did not answer, or does not hold the slot, is not asked again earlier."""
+UNANSWERED_DELAY_S: Final = 0.5
+"""Delay before an instance that did not answer or does not hold the slot is asked again."""
 
-
-MOST_AHEAD: Final = 8
-"""Tokens that are asked for together."""
+MAX_TOKENS_PER_GRANT: Final = 8
+"""Maximum number of tokens in one grant."""
 
 RATE_HALF_LIFE_S: Final = 2.0
+"""Half-life of the request rate by which the number of tokens in a question is chosen."""
 
 
 class AllowanceQuestion(NamedTuple):
-    """Asks for tokens of a workspace from the holder of a slot."""
+    """Asks the holder of a slot for tokens of a workspace.
+
+    Attributes:
+        workspace: Name of the workspace.
+        region: Region of the slot.
+        number: Number of the slot in the region.
+        wanted: Number of tokens wanted.
+    """
 
     workspace: str
     region: str
@@ -47,12 +56,12 @@
 
 
 class AllowanceAnswer(NamedTuple):
-    """The answer.
+    """Answers an ``AllowanceQuestion``.
 
     Attributes:
-        held: Whether the slot is held here, and the workspace known.
-        tokens: How many are given.
-        wait_s: If none, the seconds until there will be one.
+        held: Whether the sender holds the slot and knows the workspace.
+        tokens: Number of tokens granted.
+        wait_s: Time in seconds until a token is available; 0 if any was granted.
     """
 
     held: bool
@@ -64,18 +73,18 @@
 register_message("allowance-answer", AllowanceAnswer)
 
 NO_WORKSPACE: Final = ""
-"""Asked for only to hear any answer."""
+"""Workspace name in questions that only keep a link open."""
 
 NOT_HELD: Final = AllowanceAnswer(False, 0, 0.0)
 
 
 class SpendResult(NamedTuple):
-    """What became of the attempt to spend a token.
+    """Result of an attempt to spend a token.
 
     Attributes:
-        granted: There was one.
-        wait_s: Else, the seconds until there will be one; infinite if no holder answered.
-        told: What each slot's holder said, for the log.
+        granted: Whether a token was spent.
+        wait_s: If not, the time in seconds until one is available; infinite if no holder answered.
+        told: Source of the token if granted, otherwise the waits of all slots; for the log.
     """
 
     granted: bool
@@ -84,45 +93,45 @@
 
 
 class _Demand:
-    """What this instance's callers ask for one workspace, and what is left of a grant."""
+    """Request rate of a workspace at this instance, and unspent tokens of its latest grant."""
 
     def __init__(self) -> None:
         self._rate = 0.0
-        self._at = 0.0
-        self._left = 0
-        self._left_until = -math.inf
+        self._decayed_at = 0.0
+        self._granted_tokens = 0
+        self._granted_until = -math.inf
 
-    def note(self, now: float) -> None:
-        """A request came."""
-        self._rate = self._rate * 0.5 ** ((now - self._at) / RATE_HALF_LIFE_S)
+    def record_request(self, now: float) -> None:
+        """Record that a request arrived."""
+        self._rate = self._rate * 0.5 ** ((now - self._decayed_at) / RATE_HALF_LIFE_S)
         self._rate += math.log(2) / RATE_HALF_LIFE_S
-        self._at = now
+        self._decayed_at = now
 
-    def wanted(self) -> int:
-        """How many tokens will be used by the end of a grant that is asked for now."""
-        return max(1, min(MOST_AHEAD, int(GRANT_S * self._rate)))
+    def tokens_wanted(self) -> int:
+        """Return the number of tokens expected to be used during the lifetime of a new grant."""
+        return max(1, min(MAX_TOKENS_PER_GRANT, int(GRANT_TTL_S * self._rate)))
 
-    def take_left(self, now: float) -> bool:
-        """Use one that is left of a grant."""
-        if self._left == 0 or now >= self._left_until:
+    def take_granted(self, now: float) -> bool:
+        """Take an unspent token of the latest grant; return whether there was one."""
+        if self._granted_tokens == 0 or now >= self._granted_until:
             return False
-        self._left -= 1
+        self._granted_tokens -= 1
         return True
 
     def keep(self, tokens: int, until: float) -> None:
-        """Keep what is left of a grant, instead of what was left of another one."""
-        self._left, self._left_until = tokens, until
+        """Store the unspent tokens of a new grant; those of an earlier one are dropped."""
+        self._granted_tokens, self._granted_until = tokens, until
 
 
-class _Held(NamedTuple):
-    """The buckets of a slot since it was taken."""
+class _SlotBuckets(NamedTuple):
+    """The buckets of a slot, by workspace, since the slot was taken."""
 
     taken_at: float
     buckets: dict[str, AllowanceBucket]
 
 
 class AllowanceSharing:
-    """Spends tokens for requests that arrive here, and gives them out to other instances."""
+    """Spends tokens for requests of this instance, and grants tokens to other instances."""
 
     def __init__(
         self,
@@ -137,18 +146,20 @@
         is_entry: Callable[[], bool],
         random: Random,
     ) -> None:
-        """Make it.
+        """Initialise the sharing.
 
         Args:
-            slots: Who holds which slot.
-            peers: The links to the others.
-            clock: Must count suspension.
-            own_region: The region of this instance, whose holder is asked first.
-            regions: All regions; each has the same part.
-            allowances: Those of all workspaces, by the configuration in force; None: not limited.
-            slack: Requests in a window that all may let through beside an allowance.
-            is_entry: Whether callers are told to use this instance.
-            random: The order in which the other regions are asked.
+            slots: The slots and their holders.
+            peers: Links to the other instances.
+            clock: Clock that also advances while the machine is suspended.
+            own_region: Region of this instance; the holder in it is asked first.
+            regions: All regions; each has the same fraction of every allowance.
+            allowances: Returns the allowances of all workspaces in the effective configuration;
+                None for a workspace without a limit.
+            slack: Returns the number of requests in a window that all instances together may admit
+                beyond an allowance.
+            is_entry: Returns whether callers are directed to this instance.
+            random: Source of randomness for the order of regions and for intervals.
         """
         self._slots = slots
         self._peers = peers
@@ -159,81 +170,91 @@
         self._slack = slack
         self._is_entry = is_entry
         self._random = random
-        self._held: dict[Slot, _Held] = {}
+        self._buckets_by_slot: dict[Slot, _SlotBuckets] = {}
         self._demands: dict[str, _Demand] = {}
         self._empty_until: dict[tuple[str, Slot], float] = {}
         self._unanswered_until: dict[Slot, float] = {}
-        peers.handle(AllowanceQuestion, self._answer)
+        peers.handle(AllowanceQuestion, self._handle_question)
 
     async def run(self) -> None:
-        """Keep the links to the holders open until cancelled, if requests will need them."""
+        """Keep the links to the holders open while they may be needed, until cancelled."""
         while True:
             if self._is_entry() and any(self._allowances().values()):
                 async with trio.open_nursery() as nursery:
                     for slot in all_slots(self._regions):
-                        nursery.start_soon(self._answer_of, NO_WORKSPACE, slot, 1)
-            await trio.sleep(KEEP_LINKS_INTERVAL_S * self._random.uniform(0.8, 1.2))
+                        nursery.start_soon(self._request_tokens, NO_WORKSPACE, slot, 1)
+            await trio.sleep(LINK_KEEPALIVE_INTERVAL_S * self._random.uniform(0.8, 1.2))
 
     async def spend(self, workspace: str) -> SpendResult:
-        """Spend a token of a workspace that has an allowance."""
+        """Spend a token of a workspace that has an allowance, asking slot holders if needed."""
         now = self._clock.monotonic()
         demand = self._demands.setdefault(workspace, _Demand())
-        demand.note(now)
-        if demand.take_left(now):
+        demand.record_request(now)
+        if demand.take_granted(now):
             return SpendResult(True, 0.0, "ahead")
-        least_wait_s = math.inf
+        min_wait_s = math.inf
         told = []
-        for slot in self._in_order(workspace):
-            wait_s = await self._ask(workspace, slot, demand)
+        for slot in self._slots_in_order(workspace):
+            wait_s = await self._spend_from(workspace, slot, demand)
             if wait_s == 0.0:
                 return SpendResult(True, 0.0, slot.name)
-            least_wait_s = min(least_wait_s, wait_s)
+            min_wait_s = min(min_wait_s, wait_s)
             told.append(f"{slot.region}:{wait_s:.3f}s")
-        return SpendResult(False, least_wait_s, ",".join(told))
+        return SpendResult(False, min_wait_s, ",".join(told))
 
-    def _in_order(self, workspace: str) -> list[Slot]:
-        slots = list(slots_of(workspace, self._regions))
+    def _slots_in_order(self, workspace: str) -> list[Slot]:
+        slots = list(slots_for_workspace(workspace, self._regions))
         self._random.shuffle(slots)
         return sorted(slots, key=lambda slot: slot.region != self._own_region)
 
-    async def _ask(self, workspace: str, slot: Slot, demand: _Demand) -> float:
-        """Seconds until there is a token, 0 if it is given; infinite without an answer."""
+    async def _spend_from(self, workspace: str, slot: Slot, demand: _Demand) -> float:
+        """Spend a token of one slot.
+
+        Returns:
+            0 if a token was granted, otherwise the time in seconds until one is available;
+            infinite without an answer.
+        """
         asked_at = self._clock.monotonic()
-        left_s = self._empty_until.get((workspace, slot), 0.0) - asked_at
-        if left_s > 0.0:
-            return left_s
+        remaining_s = self._empty_until.get((workspace, slot), 0.0) - asked_at
+        if remaining_s > 0.0:
+            return remaining_s
         if asked_at < self._unanswered_until.get(slot, 0.0):
             return math.inf
-        answer = await self._answer_of(workspace, slot, demand.wanted())
-        if not answer.held or self._clock.monotonic() - asked_at > GRANT_S:
-            self._unanswered_until[slot] = asked_at + UNANSWERED_S
+        answer = await self._request_tokens(workspace, slot, demand.tokens_wanted())
+        if not answer.held or self._clock.monotonic() - asked_at > GRANT_TTL_S:
+            self._unanswered_until[slot] = asked_at + UNANSWERED_DELAY_S
             return math.inf
         if answer.tokens == 0:
-            wait_s = max(LEAST_EMPTY_S, answer.wait_s)
+            wait_s = max(MIN_EMPTY_DELAY_S, answer.wait_s)
             self._empty_until[workspace, slot] = self._clock.monotonic() + wait_s
             return wait_s
-        demand.keep(answer.tokens - 1, asked_at + GRANT_S)
+        demand.keep(answer.tokens - 1, asked_at + GRANT_TTL_S)
         return 0.0
 
-    async def _answer_of(self, workspace: str, slot: Slot, wanted: int) -> AllowanceAnswer:
+    async def _request_tokens(self, workspace: str, slot: Slot, wanted: int) -> AllowanceAnswer:
         if self._slots.held(slot):
             return self._take(workspace, slot, wanted)
         address = self._slots.holder(slot)
         if address is None or address.address == self._peers.address.address:
             return NOT_HELD
         question = AllowanceQuestion(workspace, slot.region, slot.number, wanted)
-        answered = await self._peers.request(address, question, timeout_s=GRANT_S)
+        answered = await self._peers.request(address, question, timeout_s=GRANT_TTL_S)
         if isinstance(answered, Ok) and isinstance(answered.ok_value, AllowanceAnswer):
             return answered.ok_value
         return NOT_HELD
 
-    def _answer(self, received: Received) -> AllowanceAnswer:
+    def _handle_question(self, received: Received) -> AllowanceAnswer:
         question: AllowanceQuestion = received.message
         slot = Slot(question.region, question.number)
-        return self._take(question.workspace, slot, max(1, min(MOST_AHEAD, question.wanted)))
+        return self._take(
+            question.workspace, slot, max(1, min(MAX_TOKENS_PER_GRANT, question.wanted))
+        )
 
     def _take(self, workspace: str, slot: Slot, wanted: int) -> AllowanceAnswer:
-        """Take tokens out of a slot's bucket; checked and spent in one step."""
+        """Take tokens from a bucket of a slot.
+
+        There is no checkpoint between the check that the slot is held and the taking.
+        """
         allowances = self._allowances()
         if not self._slots.held(slot) or workspace not in allowances:
             return NOT_HELD
@@ -242,16 +263,18 @@
             return AllowanceAnswer(True, wanted, 0.0)
         now = self._clock.monotonic()
         bucket = self._bucket(workspace, slot)
-        part = 1 / len(self._regions)
-        taken = bucket.take(allowance, wanted=wanted, part=part, slack=self._slack(), now=now)
+        fraction = 1 / len(self._regions)
+        taken = bucket.take(
+            allowance, wanted=wanted, fraction=fraction, slack=self._slack(), now=now
+        )
         return AllowanceAnswer(True, taken.tokens, taken.wait_s)
 
     def _bucket(self, workspace: str, slot: Slot) -> AllowanceBucket:
-        """The bucket of a workspace, which fills from when the slot was taken."""
+        """Return the bucket of a workspace, which fills from the time the slot was taken."""
         taken_at = self._slots.taken_at(slot)
-        held = self._held.get(slot)
+        held = self._buckets_by_slot.get(slot)
         if held is None or held.taken_at != taken_at:
-            held = self._held[slot] = _Held(taken_at, {})
+            held = self._buckets_by_slot[slot] = _SlotBuckets(taken_at, {})
         bucket = held.buckets.get(workspace)
         if bucket is None:
             bucket = held.buckets[workspace] = AllowanceBucket(now=taken_at)
--- a/src/wagtailpoint/limits/conditional.py
+++ b/src/wagtailpoint/limits/conditional.py
@@ -1,4 +1,4 @@
-"""Conditional writes whose lost answers are settled by reading back."""
+"""Conditional writes that resolve a lost answer by reading the object back."""
 
 from typing import Any
 
@@ -13,19 +13,20 @@
 async def put_settled(
     platform: Platform, *, kind: str, name: str, value: Any, if_version: int
 ) -> PutResult:
-    """Write conditionally; if the answer is lost, read the object back.
+    """Write an object conditionally; if the answer is lost, read the object back.
 
     Args:
-        platform: Where to write.
+        platform: Platform to write to.
         kind: Kind of the object.
         name: Name of the object.
-        value: Must be unlike every other value ever written, so that it is known again.
-        if_version: The version that it replaces.
+        value: Value to write; it must differ from every other value ever written, so that it can be
+            recognised.
+        if_version: Version of the object to replace.
 
     Returns:
-        What ``Platform.put`` returns. ``OutcomeUnknown`` remains when the object could not be read
-        back or has not changed *yet*: the write may still be on its way. It is then for the caller
-        to look again later; nothing is written twice here.
+        The result of ``Platform.put``. It stays ``OutcomeUnknown`` if the object cannot be read
+        back or has not changed *yet*, because the write may still be in transit. The caller must
+        then check again later; the write is never repeated here.
     """
     written = await platform.put(kind=kind, name=name, value=value, if_version=if_version)
     if not isinstance(written, Err) or not isinstance(written.err_value, OutcomeUnknown):
--- a/src/wagtailpoint/limits/lease.py
+++ b/src/wagtailpoint/limits/lease.py
@@ -1,8 +1,9 @@
-"""Leases: who holds an object of the platform, judged by clocks that are never compared.
+"""Leases on objects of the platform that do not depend on synchronised clocks.
 
-A holder counts its lease from *before* it sent the renewal, and ends it a little early; a successor
+A holder counts its lease from *before* it sent the renewal and ends it slightly early; a successor
 counts a whole lease from *after* it first saw the object unchanged. Each uses only its own clock,
-which counts on through a suspension, so the clocks need not agree, only run at nearly one rate.
+which also advances during suspension. The clocks need not agree, but must run at nearly the same
+rate.
 """
 
 import itertools
@@ -17,14 +18,14 @@
 from wagtailpoint.ports.platform import ABSENT, Conflict, Platform, StoredObject
 
 LEASE_KIND: Final = "lease"
-LAPSE_PART: Final = 0.9
-"""A holder's lease ends after this part of it; clock rates may then differ by a tenth."""
+LAPSE_FRACTION: Final = 0.9
+"""A holder ends its lease after this fraction of it, so that clock rates may differ by a tenth."""
 
-_MOST_UNSETTLED = 16
+_MAX_SENT_WRITES = 16
 
 
 class HolderValue(TypedDict):
-    """A holder as it is stored."""
+    """Stored form of a holder; see ``Holder``."""
 
     address: str
     port: int
@@ -32,12 +33,13 @@
 
 
 class Holder(NamedTuple):
-    """One process that may hold leases.
+    """A process that may hold leases.
 
     Attributes:
-        address: IP number where it hears its peers.
+        address: IP number at which it receives messages of peers.
         port: Its peer port.
-        incarnation: Random at each start: a process restarted at the same address is another.
+        incarnation: Random number of its start, which distinguishes processes that were started
+            one after the other at the same address.
     """
 
     address: str
@@ -46,74 +48,78 @@
 
     @property
     def place(self) -> tuple[str, int]:
-        """Where it hears its peers; processes started one after the other share it."""
+        """Address and port for peers; an earlier process may have had the same."""
         return (self.address, self.port)
 
 
 def holder_to_value(holder: Holder | None) -> HolderValue | None:
-    """Return what is stored of a holder."""
+    """Return the stored form of a holder."""
     if holder is None:
         return None
     return HolderValue(address=holder.address, port=holder.port, incarnation=holder.incarnation)
 
 
 def holder_from_value(value: HolderValue | None) -> Holder | None:
-    """Return the holder that is stored."""
+    """Return the holder of a stored form."""
     if value is None:
         return None
     return Holder(value["address"], value["port"], value["incarnation"])
 
 
 class Sightings:
-    """How long each object of a kind was seen unchanged, by this process's own clock."""
+    """Tracks how long each object of a kind has been unchanged, by this process's clock."""
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
         self._seen: dict[str, tuple[int, float]] = {}
 
-    def see(self, name: str, version: int) -> bool:
-        """Note a version that was just read; False if a newer one was seen before.
+    def record(self, name: str, version: int) -> bool:
+        """Record a version that was just read.
 
-        A lagging replica may answer with an object older than one known already.
+        Returns:
+            False if a newer version is known: a lagging replica may return a stale object.
         """
         known, _ = self._seen.get(name, (ABSENT - 1, 0.0))
         if version > known:
-            # Counted from after the answer, so never from before the write took effect.
+            # The time is taken after the answer, so it is never before the write took effect.
             self._seen[name] = (version, self._clock.monotonic())
         return version >= known
 
     def unchanged_s(self, name: str) -> float:
-        """Seconds for which the newest version was seen unchanged."""
+        """Return for how many seconds the newest version has been known and unchanged."""
         if name not in self._seen:
             return 0.0
         return self._clock.monotonic() - self._seen[name][1]
 
 
 class SentWrites:
-    """When each write of this process was sent, so that a lost answer is counted from there."""
+    """Records when the latest writes of this process were sent.
+
+    A lease is counted from then, even if the answer to the write was lost.
+    """
 
     def __init__(self, *, incarnation: int) -> None:
         self._incarnation = incarnation
         self._numbers = itertools.count(1)
-        self._sent: deque[tuple[str, float]] = deque(maxlen=_MOST_UNSETTLED)
+        self._sent: deque[tuple[str, float]] = deque(maxlen=_MAX_SENT_WRITES)
 
     def stamp(self, now: float) -> str:
-        """Return the identity of a write that is sent now."""
+        """Return a unique identity for a write that is sent at ``now``."""
         write = f"{self._incarnation}-{next(self._numbers)}"
         self._sent.append((write, now))
         return write
 
     def sent_at(self, write: str) -> float | None:
-        """When a write was sent; None if it was not ours, or is forgotten."""
+        """Return when a write was sent; None if it is of another process or no longer recorded."""
         return next((sent for known, sent in self._sent if known == write), None)
 
 
 class LeaseValue(TypedDict):
-    """What a lease's object holds.
+    """Stored value of a lease.
 
     Attributes:
-        holder: Who holds it; None after it was given up.
-        write: Identity of the write, so that its writer knows it again.
+        holder: Holder of the lease; None after its release.
+        write: Identity of the write, by which its writer recognises it.
     """
 
     holder: HolderValue | None
@@ -121,7 +127,11 @@
 
 
 class NotHeld(NamedTuple):
-    """A protected act was not done, because the lease is not held now."""
+    """A protected write was not sent because the lease is not held.
+
+    Attributes:
+        lease: Name of the lease.
+    """
 
     lease: str
 
@@ -129,22 +139,23 @@
 class Lease:
     """A lease that makes one process the only writer, for example of a move.
 
-    Check ``held`` in the same step as each protected act. A write may be delayed on its way
-    beyond the lease, so protected objects are written only through ``put``: conditionally, and
-    stamped with the ``fence``. A former holder's late write then meets a newer version.
+    Check ``held`` without a checkpoint before each protected action. A write may be delayed in
+    transit beyond the end of the lease. Protected objects must therefore be written through
+    ``put``, which writes conditionally and adds the ``fence``, so that a delayed write of a former
+    holder fails because of a newer version.
     """
 
     def __init__(
         self, *, platform: Platform, clock: Clock, name: str, own: Holder, lease_s: float
     ) -> None:
-        """Make it without holding it.
+        """Initialise a lease that is not held.
 
         Args:
-            platform: Where the lease is kept.
-            clock: Must count suspension.
-            name: Name of the lease's object.
-            own: This process.
-            lease_s: Seconds; the same for all that compete.
+            platform: Store of the lease.
+            clock: Clock that also advances while the machine is suspended.
+            name: Name of the stored object.
+            own: This process as a holder.
+            lease_s: Duration of the lease in seconds; the same for all competing processes.
         """
         self._platform = platform
         self._clock = clock
@@ -159,46 +170,49 @@
 
     @property
     def fence(self) -> int:
-        """Version of the write that took the lease: grows from holder to holder."""
+        """Version of the write that took the lease; it increases with each new holder."""
         return self._fence
 
     def held(self) -> bool:
-        """Whether this process is surely the only holder now."""
+        """Return whether this process is certainly the only holder now."""
         if self._counted_from is None:
             return False
-        return self._clock.monotonic() - self._counted_from < self._lease_s * LAPSE_PART
+        return self._clock.monotonic() - self._counted_from < self._lease_s * LAPSE_FRACTION
 
     async def step(self) -> bool:
-        """Take or renew it if possible; call a few times within each lease.
+        """Take or renew the lease if possible; to be called several times per lease duration.
 
         Returns:
-            Whether it is held.
+            Whether the lease is held.
         """
         if self.held() and await self._write(self._own, self._version):
-            # Nobody else has written since: one call renews what two would.
+            # The write succeeds only if no other process has written, so that no read is needed.
             return True
         match await self._platform.get(kind=LEASE_KIND, name=self._name):
             case Ok(StoredObject() as stored):
-                await self._judge(stored)
-            case Ok(None) if self._sightings.see(self._name, ABSENT):
+                await self._evaluate(stored)
+            case Ok(None) if self._sightings.record(self._name, ABSENT):
                 await self._write(self._own, ABSENT)
         return self.held()
 
     async def release(self) -> None:
-        """Stop at once, then let others know; if that fails they wait a lease."""
+        """Stop holding the lease at once, and write that it is vacant.
+
+        If the write fails, others can take the lease after its duration.
+        """
         if not self._fence:
             return
-        # With the fence gone, nothing of this holding is ever adopted again: the write below may
-        # take effect long after its answer was given up, and others may then hold the lease.
+        # The write below may take effect long after its answer has timed out, and others may then
+        # hold the lease. Without the fence, the lease is not adopted from an earlier write.
         self._counted_from, self._fence = None, 0
         await self._write(None, self._version)
 
     async def put(
         self, *, kind: str, name: str, value: dict[str, Any], if_version: int
     ) -> Result[StoredObject, Conflict | OutcomeUnknown | PlatformUnavailable | NotHeld]:
-        """Write a protected object, stamped with ``fence``, if the lease is held.
+        """Write a protected object with the field ``fence`` added, if the lease is held.
 
-        ``value`` needs a field that makes it unlike any other value written before.
+        ``value`` needs a field that makes it different from any value written before.
         """
         if not self.held():
             return Err(NotHeld(self._name))
@@ -207,8 +221,8 @@
             self._platform, kind=kind, name=name, value=fenced, if_version=if_version
         )
 
-    async def _judge(self, stored: StoredObject) -> None:
-        if not self._sightings.see(self._name, stored.version):
+    async def _evaluate(self, stored: StoredObject) -> None:
+        if not self._sightings.record(self._name, stored.version):
             return
         value: LeaseValue = stored.value
         holder = holder_from_value(value["holder"])
@@ -217,21 +231,22 @@
             await self._write(self._own, stored.version)
             return
         self._counted_from = None
-        # Two processes can't listen at one place: whoever held it there is gone.
+        # Two processes cannot listen at the same address and port, so an earlier holder there has
+        # ended.
         vacant = holder is None or holder.place == self._own.place
         if vacant or self._sightings.unchanged_s(self._name) >= self._lease_s:
             self._fence = 0
             await self._write(self._own, stored.version)
 
     async def _write(self, holder: Holder | None, if_version: int) -> bool:
-        """Write it if it is at a version; whether that was done."""
+        """Write the lease if it has version ``if_version``; return whether it was written."""
         write = self._writes.stamp(self._clock.monotonic())
         value = LeaseValue(holder=holder_to_value(holder), write=write)
         written: PutResult = await put_settled(
             self._platform, kind=LEASE_KIND, name=self._name, value=value, if_version=if_version
         )
         if isinstance(written, Ok):
-            self._sightings.see(self._name, written.ok_value.version)
+            self._sightings.record(self._name, written.ok_value.version)
             if holder is not None:
                 self._fence = self._fence or written.ok_value.version
                 self._adopt(written.ok_value)
--- a/tests/common/allowance_group.py
+++ b/tests/common/allowance_group.py
@@ -1,4 +1,4 @@
-"""Instances that share the allowances of workspaces, on links and a store that can be cut."""
+"""Instances that share allowances, with links and a store that can be disconnected."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from random import Random
@@ -10,7 +10,7 @@
 from tests.common.fake_platform import FakePlatform
 from wagtailpoint.limits.allowance import Allowance
 from wagtailpoint.limits.allowance_sharing import AllowanceSharing, SpendResult
-from wagtailpoint.limits.allowance_slots import SLOTS_OF_A_REGION, AllowanceSlots, Slot
+from wagtailpoint.limits.allowance_slots import SLOTS_PER_REGION, AllowanceSlots, Slot
 from wagtailpoint.limits.lease import Holder
 from wagtailpoint.membership.member import Member
 from wagtailpoint.ports.peers import PeerAddress
@@ -20,7 +20,7 @@
 
 
 class RatedClock:
-    """Runs a little faster or slower than the clock of the test."""
+    """A clock that runs slightly faster or slower than the clock of the test."""
 
     def __init__(self, *, rate: float) -> None:
         self._rate = rate
@@ -32,16 +32,16 @@
         return self.monotonic()
 
 
-class ReachedPlatform(FakePlatform):
-    """The common store, as one instance reaches it."""
+class InstancePlatform(FakePlatform):
+    """Access of one instance to the common store, which can fail separately."""
 
     def __init__(self, common: FakePlatform) -> None:
         super().__init__()
         self.store = common.store
 
 
-class SeenMembers:
-    """The members as one instance sees them."""
+class ScriptedMembership:
+    """Membership as seen by one instance, set by a test."""
 
     def __init__(self, *, own: Member) -> None:
         self.own = own
@@ -52,13 +52,13 @@
 
 
 class SharingInstance:
-    """One process."""
+    """One process of an instance that shares allowances."""
 
     def __init__(self, group: "AllowanceGroup", member: Member) -> None:
         self.member = member
         self.stopped = trio.CancelScope()
-        self.membership = SeenMembers(own=member)
-        self.platform = ReachedPlatform(group.platform)
+        self.membership = ScriptedMembership(own=member)
+        self.platform = InstancePlatform(group.platform)
         self.peers = FakePeers(network=group.network, address=member.peer_address)
         clock = RatedClock(rate=group.random.uniform(*group.clock_rates))
         random = Random(group.random.random())
@@ -89,11 +89,11 @@
 
     @property
     def held(self) -> list[Slot]:
-        """The slots that it holds by its own clock; none after its end."""
+        """The slots that it holds by its own clock; none after it was stopped."""
         if self.stopped.cancel_called:
             return []
         region = self.member.region
-        slots = (Slot(region, number) for number in range(SLOTS_OF_A_REGION))
+        slots = (Slot(region, number) for number in range(SLOTS_PER_REGION))
         return [slot for slot in slots if self._slots.held(slot)]
 
     async def run(self) -> None:
@@ -105,12 +105,12 @@
 
 
 class AllowanceGroup:
-    """So many instances, spread over the regions.
+    """A number of instances, distributed over the regions.
 
     Attributes:
-        allowances: In force on all instances.
-        granted: When a token was spent, by workspace.
-        refused: When a request found none, by workspace.
+        allowances: Allowances in effect on all instances, by workspace.
+        granted: Times at which a token was spent, by workspace.
+        refused: Times at which a request got no token, by workspace.
     """
 
     def __init__(
@@ -131,9 +131,9 @@
         self.granted: dict[str, list[float]] = {name: [] for name in allowances}
         self.refused: dict[str, list[float]] = {name: [] for name in allowances}
         self._incarnations = 0
-        self.instances = [self._make(number) for number in range(count)]
+        self.instances = [self._make_instance(number) for number in range(count)]
 
-    def _make(self, number: int) -> SharingInstance:
+    def _make_instance(self, number: int) -> SharingInstance:
         self._incarnations += 1
         region = REGIONS[number % len(REGIONS)]
         member = Member(
@@ -152,51 +152,51 @@
         return SharingInstance(self, member)
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Run all instances; all of them see all others."""
-        for each in self.instances:
-            nursery.start_soon(each.run)
-        self.see_all()
+        """Start all instances; all of them know all others."""
+        for instance in self.instances:
+            nursery.start_soon(instance.run)
+        self.set_full_views()
 
-    def see_all(self) -> None:
-        """Every instance sees all that run."""
-        self.see([self.instances])
+    def set_full_views(self) -> None:
+        """Let every instance know all running instances."""
+        self.set_views([self.instances])
 
-    def see(self, sides: Iterable[Sequence[SharingInstance]]) -> None:
-        """Every instance sees those of its side that run."""
+    def set_views(self, sides: Iterable[Sequence[SharingInstance]]) -> None:
+        """Let every instance know the running instances of its side of a partition."""
         for side in sides:
-            seen = tuple(each.member for each in side if not each.stopped.cancel_called)
-            for each in side:
-                each.membership.own = each.member
-                each.membership.seen = seen
+            seen = tuple(instance.member for instance in side if not instance.stopped.cancel_called)
+            for instance in side:
+                instance.membership.own = instance.member
+                instance.membership.seen = seen
 
     def kill(self, number: int) -> None:
-        """End a process; who sees it is left as it is."""
+        """Stop a process; the membership seen by others does not change."""
         self.instances[number].stopped.cancel()
 
     def restart(self, number: int, nursery: trio.Nursery) -> None:
-        """Start a process in place of one that was killed; it sees itself at first."""
-        started = self.instances[number] = self._make(number)
+        """Start a process in place of one that was killed; initially it knows only itself."""
+        started = self.instances[number] = self._make_instance(number)
         started.membership.own = started.member._replace(state="starting")
         nursery.start_soon(started.run)
 
     async def request(self, number: int, workspace: str) -> SpendResult:
         """Spend a token for a request that arrives at an instance."""
         spent = await self.instances[number].sharing.spend(workspace)
-        told = self.granted if spent.granted else self.refused
-        told[workspace].append(trio.current_time())
+        times_by_workspace = self.granted if spent.granted else self.refused
+        times_by_workspace[workspace].append(trio.current_time())
         return spent
 
     def peer(self, number: int) -> PeerAddress:
-        """Where an instance hears its peers."""
+        """Return the address of an instance for peers."""
         return self.instances[number].member.peer_address
 
 
-def most_in_window(times: Sequence[float], window_s: float) -> int:
-    """The most of some moments that lie in any window of a length."""
+def max_in_window(times: Sequence[float], window_s: float) -> int:
+    """Return the maximum number of times within any window of a length in seconds."""
     ordered = sorted(times)
-    most, first = 0, 0
-    for last, at in enumerate(ordered):
-        while ordered[first] <= at - window_s:
+    max_count, first = 0, 0
+    for last, time in enumerate(ordered):
+        while ordered[first] <= time - window_s:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        max_count = max(max_count, last - first + 1)
+    return max_count
--- a/tests/cover/test_lease.py
+++ b/tests/cover/test_lease.py
@@ -1,4 +1,4 @@
-"""Leases that make one process the only writer."""
+"""Tests of leases that make one process the only writer."""
 
 import unittest
 
@@ -42,8 +42,8 @@
         self.assertTrue(self.step(1))
         self.assertGreater(self.leases[1].fence, fence)
 
-    def test_process_started_again_at_the_place_of_the_holder_takes_it_at_once(self) -> None:
-        """Guards against a lease that nobody holds for its whole length after a restart."""
+    def test_process_restarted_at_the_address_of_the_holder_takes_the_lease(self) -> None:
+        """Guards against a lease that stays vacant for its whole duration after a restart."""
         self.assertTrue(self.step(0))
         fence = self.leases[0].fence
         holder = self.processes[0].holder
@@ -60,12 +60,12 @@
         self.assertTrue(self.step(1))
         self.assertGreater(self.leases[1].fence, fence)
 
-    def test_late_give_up_finds_no_holder(self) -> None:
-        """Symptom: two processes write under one lease.
+    def test_delayed_release_does_not_free_a_held_lease(self) -> None:
+        """Guards against two processes that write under one lease.
 
-        Sequence: a holder gives up and its write is delayed; it wants the lease again and reads
-        that it still has it; the delayed write lands; another takes the vacant lease. Cause: the
-        holder adopted its lease although its own write against it was still under way.
+        A holder releases the lease, but its write is delayed. When it wants the lease again, it
+        reads that it still holds it. Then the delayed write takes effect, and another process takes
+        the vacant lease. So the holder must not adopt a lease while its release is in transit.
         """
         self.step(0)
         holder = self.processes[0]
