--- a/tests/cover/test_admission.py
+++ b/tests/cover/test_admission.py
@@ -72,13 +72,13 @@
                 (await self.pool.acquire(demand(policy, **changes))).unwrap() for _ in range(count)
             ]
 
-    async def learn(self, policy: ClassPolicy) -> None:
+    async def measure_hold(self, policy: ClassPolicy) -> None:
         """Let the pool measure a hold time of ``HOLD_S`` for a class."""
         (slot,) = await self.take(policy, 1)
         await trio.sleep(HOLD_S)
         self.pool.release(slot)
 
-    async def ask(self, name: str, policy: ClassPolicy, **changes) -> None:
+    async def request(self, name: str, policy: ClassPolicy, **changes) -> None:
         """Request a slot in the background; its result is added to ``ended`` under ``name``."""
 
         async def acquire() -> None:
@@ -95,7 +95,7 @@
     def test_class_uses_idle_slots_up_to_its_ceiling(self) -> None:
         async def check() -> None:
             await self.take(BROCHURE, 4)
-            await self.ask("fifth", BROCHURE)
+            await self.request("fifth", BROCHURE)
             self.assertEqual((self.pool.in_flight, self.pool.queued), (4, 1))
 
         self.use(check)
@@ -111,8 +111,8 @@
         async def check() -> None:
             await self.take(BROCHURE, 4)
             await self.take(BROWSE, 4)
-            await self.ask("browse", BROWSE)
-            await self.ask("brochure", BROCHURE)
+            await self.request("browse", BROWSE)
+            await self.request("brochure", BROCHURE)
             await self.take(TONIGHT, 2)
             self.assertEqual(self.names(), [])
 
@@ -129,7 +129,7 @@
         async def check() -> None:
             await self.take(BROWSE, 7)
             await self.take(BROCHURE, 1)
-            await self.ask("brochure", BROCHURE)
+            await self.request("brochure", BROCHURE)
             self.assertEqual(self.pool.in_flight, 8)
 
         self.use(check)
@@ -156,7 +156,7 @@
 
         async def check() -> None:
             await self.take(BROCHURE, 1, servers=choice)
-            await self.ask("second", BROCHURE, servers=choice)
+            await self.request("second", BROCHURE, servers=choice)
             self.assertEqual(self.pool.in_flight, 1)
 
         self.use(check)
@@ -167,7 +167,7 @@
         async def check() -> None:
             slots = await self.take(TONIGHT, 10)
             for name, policy in (("brochure", BROCHURE), ("first", TONIGHT), ("second", TONIGHT)):
-                await self.ask(name, policy)
+                await self.request(name, policy)
             self.pool.release(slots[0])
             await trio.testing.wait_all_tasks_blocked()
             self.assertEqual(self.names(), ["first"])
@@ -183,9 +183,9 @@
 
         async def check() -> None:
             slots = await self.take(BROWSE, 8)
-            await self.ask("browse", BROWSE)
-            await self.ask("brochure", BROCHURE)
-            await self.ask("second brochure", BROCHURE)
+            await self.request("browse", BROWSE)
+            await self.request("brochure", BROCHURE)
+            await self.request("second brochure", BROCHURE)
             for number in (0, 1):
                 self.pool.release(slots[number])
                 await trio.testing.wait_all_tasks_blocked()
@@ -196,8 +196,8 @@
     def test_class_without_slots_does_not_overtake_the_most_urgent_class(self) -> None:
         async def check() -> None:
             slots = await self.take(TONIGHT, 10)
-            await self.ask("brochure", BROCHURE)
-            await self.ask("tonight", TONIGHT)
+            await self.request("brochure", BROCHURE)
+            await self.request("tonight", TONIGHT)
             self.pool.release(slots[0])
             await trio.testing.wait_all_tasks_blocked()
             self.assertEqual(self.names(), ["tonight"])
@@ -214,8 +214,8 @@
         async def check() -> None:
             slots = await self.take(TONIGHT, 10, workspace="own")
             for number in range(50):
-                await self.ask(f"own {number}", TONIGHT, workspace="own")
-            await self.ask("inherited", TONIGHT, workspace="inherited")
+                await self.request(f"own {number}", TONIGHT, workspace="own")
+            await self.request("inherited", TONIGHT, workspace="inherited")
             self.pool.release(slots[0])
             await trio.testing.wait_all_tasks_blocked()
             self.assertEqual(self.names(), ["inherited"])
@@ -232,8 +232,8 @@
         async def check() -> None:
             await self.take(TONIGHT, 10, workspace="own")
             for number in range(8):
-                await self.ask(f"own {number}", TONIGHT, workspace="own")
-            await self.ask("inherited", TONIGHT, workspace="inherited")
+                await self.request(f"own {number}", TONIGHT, workspace="own")
+            await self.request("inherited", TONIGHT, workspace="inherited")
             self.assertEqual(self.names(), ["own 7"])
 
         self.use(check, max_queued=8)
@@ -260,10 +260,10 @@
         """
 
         async def check() -> None:
-            await self.learn(TONIGHT)
+            await self.measure_hold(TONIGHT)
             await self.take(TONIGHT, 10)
             for number in range(50):
-                await self.ask(f"{number}", TONIGHT, timeout_s=0.4)
+                await self.request(f"{number}", TONIGHT, timeout_s=0.4)
             refused = [ended for _, ended in self.ended if isinstance(ended, Err)]
             self.assertEqual(len(refused), 50 - 20)
             refusal = refused[0].err_value
@@ -281,10 +281,10 @@
         """
 
         async def check() -> None:
-            await self.learn(TONIGHT)
+            await self.measure_hold(TONIGHT)
             await self.take(TONIGHT, 10)
             await trio.sleep(3.0)
-            await self.ask("after the stall", TONIGHT, timeout_s=1.0)
+            await self.request("after the stall", TONIGHT, timeout_s=1.0)
             self.assertEqual(self.names(), ["after the stall"])
 
         self.use(check)
@@ -298,10 +298,10 @@
         """
 
         async def check() -> None:
-            await self.learn(TONIGHT)
+            await self.measure_hold(TONIGHT)
             slots = await self.take(TONIGHT, 10)
             for number in range(100):
-                await self.ask(f"{number}", TONIGHT, timeout_s=1.2)
+                await self.request(f"{number}", TONIGHT, timeout_s=1.2)
             self.assertEqual(self.pool.queued, 100)
             for _ in range(60):
                 await trio.sleep(HOLD_S / 10)
@@ -309,7 +309,7 @@
                 await trio.testing.wait_all_tasks_blocked()
                 slots.append(self.ended[-1][1].unwrap())  # type: ignore[attr-defined]
             for number in range(100):
-                await self.ask(f"late {number}", TONIGHT, timeout_s=1.2)
+                await self.request(f"late {number}", TONIGHT, timeout_s=1.2)
             self.assertLess(self.pool.queued, 50)
 
         self.use(check, max_queued=1000)
@@ -323,14 +323,14 @@
         """
 
         async def check() -> None:
-            await self.learn(TONIGHT)
-            await self.learn(BROCHURE)
+            await self.measure_hold(TONIGHT)
+            await self.measure_hold(BROCHURE)
             await self.take(TONIGHT, 10)
             for number in range(3):
-                await self.ask(f"brochure {number}", BROCHURE, timeout_s=2.0)
+                await self.request(f"brochure {number}", BROCHURE, timeout_s=2.0)
             self.assertEqual(self.names(), [])
             for number in range(160):
-                await self.ask(f"tonight {number}", TONIGHT, timeout_s=5.0)
+                await self.request(f"tonight {number}", TONIGHT, timeout_s=5.0)
             self.assertEqual(set(self.names()), {f"brochure {number}" for number in range(3)})
             self.assertTrue(all(isinstance(ended, Err) for _, ended in self.ended))
 
@@ -340,9 +340,9 @@
         async def check() -> None:
             await self.take(TONIGHT, 10)
             for name, policy in (("brochure", BROCHURE), ("browse", BROWSE), ("tonight", TONIGHT)):
-                await self.ask(name, policy)
+                await self.request(name, policy)
             self.assertEqual(self.names(), ["brochure"])
-            await self.ask("late brochure", BROCHURE)
+            await self.request("late brochure", BROCHURE)
             self.assertEqual(self.names(), ["brochure", "late brochure"])
 
         self.use(check, max_queued=2)
