--- a/src/wagtailpoint/admission/slots.py
+++ b/src/wagtailpoint/admission/slots.py
@@ -245,7 +245,7 @@
         """
         served = 0
         while served < max_served and len(pool.queue):
-            waiter = pool.queue.next_served(pool.waits.held)
+            waiter = pool.queue.next_to_serve(pool.waits.held)
             if self._cannot_meet_deadline(waiter.demand, pool):
                 self._refuse_waiting(waiter, pool, DEADLINE_CAUSE)
                 continue
--- a/src/wagtailpoint/admission/wait_queue.py
+++ b/src/wagtailpoint/admission/wait_queue.py
@@ -68,7 +68,7 @@
         """Return the request to serve first by strict priority; the queue must not be empty."""
         return self._queues[min(self._waiting_priorities())].next_to_serve()
 
-    def next_served(self, held: Callable[[int], int]) -> Waiter:
+    def next_to_serve(self, held: Callable[[int], int]) -> Waiter:
         """Return the request to serve next: the most urgent one, or one of a starving class.
 
         With strict priority only, a download would never start while requests of a more urgent
--- a/src/wagtailpoint/health/board.py
+++ b/src/wagtailpoint/health/board.py
@@ -93,7 +93,7 @@
         }
         if not doubtful:
             return group
-        excluded = self._excluded(doubtful, len(group))
+        excluded = self._find_excluded(doubtful, len(group))
         return tuple(server for server in group if server.address not in excluded)
 
     def retain(self, kept: Sequence[BackendAddress]) -> None:
@@ -102,7 +102,7 @@
         self._health = {key: value for key, value in self._health.items() if key in known}
         self._latencies_checked_at.clear()
 
-    def _excluded(
+    def _find_excluded(
         self, doubtful: dict[BackendAddress, ServerHealth], group_size: int
     ) -> set[BackendAddress]:
         """Return the doubtful backend servers of a group that get no new requests."""
@@ -114,13 +114,13 @@
             return draining
         draining |= reporting
         not_draining = {key: health for key, health in doubtful.items() if key not in draining}
-        return draining | self._excluded_by_faults(not_draining, group_size - len(draining))
+        return draining | self._find_excluded_by_faults(not_draining, group_size - len(draining))
 
-    def _excluded_by_faults(
+    def _find_excluded_by_faults(
         self, not_draining: dict[BackendAddress, ServerHealth], candidates: int
     ) -> set[BackendAddress]:
-        """Return the ejected and the not offered backend servers, up to the cap."""
-        refused = {key for key, health in not_draining.items() if not health.should_offer()}
+        """Return the backend servers that are ejected or not offered in a trial, up to the cap."""
+        excluded = {key for key, health in not_draining.items() if not health.should_offer()}
         unhealthy = [
             key for key, health in not_draining.items() if health.state is not State.HEALTHY
         ]
@@ -132,8 +132,8 @@
             unhealthy.sort(
                 key=lambda key: (not_draining[key].state is State.EJECTED, not_draining[key].faults)
             )
-            refused.difference_update(unhealthy[:excess])
-        return refused
+            excluded.difference_update(unhealthy[:excess])
+        return excluded
 
     def _eject_slow(self, group: tuple[BackendServer, ...]) -> None:
         now = self._clock.monotonic()
--- a/src/wagtailpoint/quarantine/stored.py
+++ b/src/wagtailpoint/quarantine/stored.py
@@ -143,13 +143,13 @@
         while True:
             await trio.sleep(CLEAN_INTERVAL_S * self._random.uniform(0.8, 1.2))
             if self._has_duty():
-                for stored in self._expired():
+                for stored in self._find_expired():
                     removed = await self._platform.delete(
                         kind=KIND, name=stored.name, if_version=stored.version
                     )
                     log_event("quarantine-removed", digest=stored.name, removed=removed.is_ok())
 
-    def _expired(self) -> list[StoredObject]:
+    def _find_expired(self) -> list[StoredObject]:
         """Return the requests to remove: those too old, and the oldest above the limit."""
         now = trio.current_time()
         by_age = sorted(self._listed.values(), key=lambda stored: stored.version)
--- a/tests/nocover/test_quarantine_schedules.py
+++ b/tests/nocover/test_quarantine_schedules.py
@@ -41,7 +41,7 @@
 
     Attributes:
         at_s: When it happened, by trio's clock.
-        is_in_contact: Whether the sending instance had contact to the store and its peers when it
+        is_in_contact: Whether the sending instance had contact with the store and its peers when it
             sent the request.
     """
 
