--- a/src/wagtailpoint/discovery/fleet.py
+++ b/src/wagtailpoint/discovery/fleet.py
@@ -1,4 +1,4 @@
-"""The backend servers that may take new work, and which of them are cold."""
+"""The backend servers that may take new requests, and which of them are cold."""
 
 from collections.abc import Collection, Iterable, Mapping
 from typing import NamedTuple
@@ -9,16 +9,17 @@
 from wagtailpoint.observe.log import log_event
 from wagtailpoint.routing.table import ServicePolicy
 
-EVACUATED_COLD_S = 3.0
-"""Servers that got nothing for a while may have become cold: so long they are paced after that."""
+DEFAULT_COLD_S = 3.0
+"""Cold time after an evacuation if the service is not configured: backend servers that got no
+requests for a while may have become cold and are paced again."""
 
 
 class Candidate(NamedTuple):
-    """A backend server that may take new work.
+    """A backend server that may take new requests.
 
     Attributes:
-        entry: What it registered.
-        region: Its region.
+        entry: Its registration.
+        region: The region that it runs in.
     """
 
     entry: ServerEntry
@@ -26,10 +27,10 @@
 
 
 class Fleet:
-    """All backend servers as this instance believes them to be."""
+    """This instance's view of all backend servers."""
 
     def __init__(self, *, region_of: Mapping[str, str]) -> None:
-        """Make it empty.
+        """Initialise a fleet without backend servers.
 
         Args:
             region_of: The region of each failure domain.
@@ -40,46 +41,46 @@
         self._cold_until: dict[ServerStart, float] = {}
         self._candidates: dict[str, tuple[Candidate, ...]] = {}
         self._generation = 0
-        self._outdated = False
+        self._are_candidates_stale = False
 
     @property
     def generation(self) -> int:
-        """Rises with every change of the candidates."""
+        """A number that rises with every change of the candidates."""
         return self._generation
 
     @property
     def evacuated(self) -> frozenset[str]:
-        """Failure domains whose backend servers get nothing."""
+        """The failure domains whose backend servers get no requests."""
         return self._evacuated
 
     @property
     def entries(self) -> Mapping[str, ServerEntry]:
-        """All backend servers by id."""
+        """The entries of all backend servers by id."""
         return self._entries
 
     @property
     def failure_domains(self) -> int:
-        """How many failure domains there are, whether they have backend servers or not."""
+        """The number of failure domains, with or without backend servers."""
         return len(self._region_of)
 
     @property
     def known_domains(self) -> Collection[str]:
-        """The failure domains of the deployment."""
+        """The names of all failure domains of the deployment."""
         return self._region_of
 
     def region_of(self, failure_domain: str) -> str:
-        """The region of a failure domain; empty if it is not known."""
+        """Return the region of a failure domain; empty if the failure domain is unknown."""
         return self._region_of.get(failure_domain, "")
 
     def candidates(self, service: str) -> tuple[Candidate, ...]:
-        """The backend servers of a service that may take new work."""
-        if self._outdated:
-            # Only now: an instance that gets no requests hears of hundreds of changes all the same.
+        """Return the backend servers of a service that may take new requests."""
+        if self._are_candidates_stale:
+            # Rebuilt on use: an instance without requests still receives hundreds of changes.
             self._rebuild()
         return self._candidates.get(service, ())
 
     def takes_work(self, entry: ServerEntry) -> bool:
-        """Whether a backend server may take new work now, and has not started again meanwhile."""
+        """Return whether the backend server may take new requests and has not restarted since."""
         known = self._entries.get(entry.server_id)
         return known is not None and known.start == entry.start and self._is_usable(known)
 
@@ -87,7 +88,7 @@
         return not entry.draining and entry.failure_domain not in self._evacuated
 
     def is_cold(self, start: ServerStart) -> bool:
-        """Whether a backend server is cold."""
+        """Return whether a backend server is cold."""
         until = self._cold_until.get(start)
         if until is None:
             return False
@@ -97,44 +98,52 @@
         return False
 
     def record_cold(self, start: ServerStart, cold_s: float) -> None:
-        """Take note that a backend server stays cold for so many seconds."""
+        """Record that a backend server stays cold for ``cold_s`` seconds from now."""
         if cold_s > 0:
             until = trio.current_time() + cold_s
             self._cold_until[start] = max(until, self._cold_until.get(start, 0.0))
 
     def update(self, entries: Iterable[ServerEntry]) -> list[ServerStart]:
-        """Take in all entries; return those that are gone, or have started again."""
-        found = {each.server_id: each for each in entries}
+        """Replace all entries; return the starts that have ended, by removal or restart."""
+        found = {entry.server_id: entry for entry in entries}
         return self.apply_changes(found.values(), gone=self._entries.keys() - found.keys())
 
     def apply_changes(
         self, entries: Iterable[ServerEntry], *, gone: Collection[str]
     ) -> list[ServerStart]:
-        """Take in entries that are new or have changed, and the ids of those that are gone.
+        """Apply changes to the entries.
+
+        Args:
+            entries: Entries that are new or have changed.
+            gone: Ids of the backend servers that were removed.
 
         Returns:
-            The starts that have ended.
+            The starts that have ended, by removal or restart.
         """
         ended = [self._entries.pop(server_id).start for server_id in gone]
         for start in ended:
-            self._forget(start)
+            self._discard(start)
         for entry in entries:
-            before = self._entries.get(entry.server_id)
-            if entry == before:
+            previous = self._entries.get(entry.server_id)
+            if entry == previous:
                 continue
-            if before is not None and entry.start != before.start:
-                ended.append(before.start)
-                self._forget(before.start)
-            self._put(entry, before)
-        self._note_change()
+            if previous is not None and entry.start != previous.start:
+                ended.append(previous.start)
+                self._discard(previous.start)
+            self._put(entry, previous)
+        self._invalidate_candidates()
         return ended
 
-    def _forget(self, start: ServerStart) -> None:
+    def _discard(self, start: ServerStart) -> None:
         self._cold_until.pop(start, None)
         log_event("server-gone", server=start.server_id, started_ms=start.started_ms)
 
-    def _put(self, entry: ServerEntry, before: ServerEntry | None) -> None:
-        if before is None or entry.start != before.start or entry.cold_left_s != before.cold_left_s:
+    def _put(self, entry: ServerEntry, previous: ServerEntry | None) -> None:
+        if (
+            previous is None
+            or entry.start != previous.start
+            or entry.cold_left_s != previous.cold_left_s
+        ):
             self.record_cold(entry.start, entry.cold_left_s)
         log_event(
             "server-known",
@@ -148,24 +157,24 @@
         )
         self._entries[entry.server_id] = entry
 
-    def _note_change(self) -> None:
+    def _invalidate_candidates(self) -> None:
         self._generation += 1
-        self._outdated = True
+        self._are_candidates_stale = True
 
     def evacuate(
         self, failure_domains: frozenset[str], services: Mapping[str, ServicePolicy]
     ) -> None:
-        """Send nothing to these failure domains from now on."""
+        """Set the failure domains whose backend servers get no new requests."""
         if failure_domains == self._evacuated:
             return
-        taken_back = self._evacuated - failure_domains
+        reinstated = self._evacuated - failure_domains
         for entry in self._entries.values():
-            if entry.failure_domain in taken_back:
+            if entry.failure_domain in reinstated:
                 policy = services.get(entry.service)
-                self.record_cold(entry.start, policy.cold_s if policy else EVACUATED_COLD_S)
+                self.record_cold(entry.start, policy.cold_s if policy else DEFAULT_COLD_S)
         self._evacuated = failure_domains
         log_event("evacuations", domains=",".join(sorted(failure_domains)))
-        self._note_change()
+        self._invalidate_candidates()
 
     def _rebuild(self) -> None:
         by_service: dict[str, list[Candidate]] = {}
@@ -175,7 +184,7 @@
             region = self.region_of(entry.failure_domain)
             by_service.setdefault(entry.service, []).append(Candidate(entry, region))
         self._candidates = {
-            service: tuple(sorted(found, key=lambda each: each.entry.server_id))
+            service: tuple(sorted(found, key=lambda candidate: candidate.entry.server_id))
             for service, found in by_service.items()
         }
-        self._outdated = False
+        self._are_candidates_stale = False
--- a/src/wagtailpoint/discovery/registration.py
+++ b/src/wagtailpoint/discovery/registration.py
@@ -1,4 +1,4 @@
-"""This instance's own object in the store, by which new instances find the others."""
+"""This instance's registration in the store, by which new instances find the others."""
 
 from collections.abc import Callable, Sequence
 from random import Random
@@ -12,25 +12,25 @@
 from wagtailpoint.ports.peers import PeerAddress
 from wagtailpoint.ports.platform import ABSENT, Conflict, Platform, StoredObject
 
-KIND = "wagtailpoint-instances"
-RETRY_S = 0.5
-LOOK_AGAIN_S = 10.0
-"""How often the list is read while no other instance is known to live."""
+INSTANCES_KIND = "wagtailpoint-instances"
+RETRY_DELAY_S = 0.5
+LIST_INTERVAL_S = 10.0
+"""Interval of reading the registrations while no other instance is known to be live."""
 
-UNKNOWN_COUNT = 32
-"""Instances that are assumed until the list was read: shared budgets are divided by the number, and
-a smaller one would spend the others' parts."""
+INITIAL_COUNT = 32
+"""Number of instances assumed until the registrations were read. Shared budgets are divided by it:
+a number that is too small would spend the shares of the other instances."""
 
 
 class Registered(msgspec.Struct):
-    """An instance, as it registered itself."""
+    """The registration of an instance."""
 
     address: str
     peer_port: int
 
 
 def read_registered(stored: StoredObject) -> Registered | None:
-    """Read an instance's object; None, with a log line, if it can't be read."""
+    """Decode an instance's registration; return None and log the error if it is invalid."""
     try:
         return msgspec.convert(stored.value, Registered)
     except msgspec.ValidationError as error:
@@ -39,60 +39,62 @@
 
 
 class Registration:
-    """Registers this instance, and reads who else did."""
+    """Registers this instance and reads the registrations of the others."""
 
     def __init__(self, *, platform: Platform, name: str, peers: Endpoint, random: Random) -> None:
-        """Make it.
+        """Initialise the registration without writing it.
 
         Args:
             platform: The store.
-            name: This instance's name; a process that takes its place overwrites its object.
-            peers: Where the other instances reach it.
-            random: For the jitter.
+            name: This instance's name; a process that replaces it overwrites its registration.
+            peers: The endpoint at which other instances reach this one.
+            random: Source of the jitter.
         """
         self._platform = platform
         self._name = name
-        self._own = peers
+        self._own_endpoint = peers
         self._random = random
         self._others: Sequence[PeerAddress] = ()
-        self._count = UNKNOWN_COUNT
+        self._count = INITIAL_COUNT
         self._version = ABSENT
 
     @property
     def count(self) -> int:
-        """How many instances are registered, this one included."""
+        """The number of registered instances, including this one."""
         return self._count
 
     def addresses(self) -> Sequence[PeerAddress]:
-        """Where to look for the others."""
+        """Return the addresses of the other registered instances."""
         return self._others
 
     async def run(self, is_alone: Callable[[], bool]) -> None:
-        """Register, then read the list until others are found.
+        """Register and read the registrations, again while no other instance is known to be live.
 
         Args:
-            is_alone: Returns whether no other instance is known to live.
+            is_alone: Returns whether no other instance is known to be live.
         """
         registered = False
         while not registered:
             registered = await self._register()
             if not registered:
-                await trio.sleep(RETRY_S * self._random.uniform(0.5, 1.5))
+                await trio.sleep(RETRY_DELAY_S * self._random.uniform(0.5, 1.5))
         await self._read()
         while True:
-            await trio.sleep(LOOK_AGAIN_S * self._random.uniform(0.8, 1.2))
+            await trio.sleep(LIST_INTERVAL_S * self._random.uniform(0.8, 1.2))
             if is_alone():
                 await self._read()
 
     async def withdraw(self) -> None:
-        """Remove this instance's object; it ends."""
+        """Remove this instance's registration before the process ends."""
         if self._version != ABSENT:
-            await self._platform.delete(kind=KIND, name=self._name, if_version=self._version)
+            await self._platform.delete(
+                kind=INSTANCES_KIND, name=self._name, if_version=self._version
+            )
 
     async def _register(self) -> bool:
-        value = msgspec.to_builtins(Registered(self._own.address, self._own.port))
+        value = msgspec.to_builtins(Registered(self._own_endpoint.address, self._own_endpoint.port))
         written = await self._platform.put(
-            kind=KIND, name=self._name, value=value, if_version=self._version
+            kind=INSTANCES_KIND, name=self._name, value=value, if_version=self._version
         )
         if isinstance(written, Ok):
             self._version = written.ok_value.version
@@ -100,7 +102,7 @@
             return True
         error = written.err_value
         if isinstance(error, Conflict):
-            # Of the process before at this place, or of a write of ours whose answer was lost.
+            # From a previous process of this name, or from an own write whose answer was lost.
             self._version = error.current.version if error.current is not None else ABSENT
             if error.current is not None and error.current.value == value:
                 return True
@@ -109,16 +111,16 @@
         return False
 
     async def _read(self) -> None:
-        # Who registered in the last seconds is found by the others anyway.
-        listing = await self._platform.list(kind=KIND, may_be_stale=True)
+        # Instances that registered in the last seconds find this one anyway.
+        listing = await self._platform.list(kind=INSTANCES_KIND, may_be_stale=True)
         if isinstance(listing, Err):
             log_event("instances-unread", level="WARNING", error=listing.err_value)
             return
-        found = []
+        others = []
         for stored in listing.ok_value.objects:
-            each = read_registered(stored)
-            if each is not None and each.address != self._own.address:
-                found.append(PeerAddress(each.address, each.peer_port))
-        self._others = found
-        self._count = len(found) + 1
+            registered = read_registered(stored)
+            if registered is not None and registered.address != self._own_endpoint.address:
+                others.append(PeerAddress(registered.address, registered.peer_port))
+        self._others = others
+        self._count = len(others) + 1
         log_event("instances-read", count=self._count, version=listing.ok_value.version)
--- a/src/wagtailpoint/membership/table.py
+++ b/src/wagtailpoint/membership/table.py
@@ -1,4 +1,4 @@
-"""The view of one instance: the newest fact of each address, and which of them are news."""
+"""The view of one instance: the newest fact on each address, and pending updates."""
 
 import math
 from collections.abc import Iterable
@@ -7,31 +7,31 @@
 from wagtailpoint.membership.change import (
     Change,
     News,
-    change_of,
-    changed_fact,
+    apply_change,
+    extract_change,
     unpack_address,
 )
 from wagtailpoint.membership.member import Fact, Member, make_member
 from wagtailpoint.observe.log import log_event
 from wagtailpoint.ports.clock import Clock
 
-BUCKETS = 32
-MOST_MEMBERS = 2000
+BUCKET_COUNT = 32
+MAX_MEMBERS = 2000
 
 
 class MemberTable:
-    """Merges facts, whatever the order in which they arrive.
+    """Merges facts, independently of the order in which they arrive.
 
-    Deaths are not told on: each instance concludes them itself, when a suspicion was not refuted
-    for a while. Otherwise two sides of a healed cut would, for a moment, each be told by the other
-    that all their own neighbours are dead.
+    Deaths are not gossiped: each instance declares a member dead itself if a suspicion is not
+    refuted in time. Otherwise, after a network partition heals, each side would for a moment
+    learn from the other that all its own members are dead.
 
     Args:
         own: The fact of this instance.
-        clock: Measures how long a suspicion stands.
-        gossip_copies: How often this instance tells a piece of news on, at most.
-        report_copies: The same, of a change of anything but the state.
-        urgent_load_step: A change of the load by so much is urgent news.
+        clock: Measures the age of suspicions and deaths.
+        gossip_copies: The maximum number of times that this instance sends an update.
+        report_copies: Likewise for an update that does not change the state.
+        urgent_load_step: The minimum change of the load that makes an update urgent.
     """
 
     def __init__(
@@ -51,12 +51,12 @@
         self._facts: dict[str, Fact] = {own.address: own}
         self._suspect_since: dict[str, float] = {}
         self._dead_since: dict[str, float] = {}
-        self._copies_left: dict[str, int] = {}
+        self._remaining_copies: dict[str, int] = {}
         self._urgent: set[str] = set()
         self._new_processes: set[str] = set()
-        self._buckets = [0] * BUCKETS
+        self._buckets = [0] * BUCKET_COUNT
         self._members: tuple[Member, ...] | None = None
-        self._toggle(own)
+        self._toggle_hash(own)
 
     @property
     def own(self) -> Fact:
@@ -65,12 +65,12 @@
 
     @property
     def buckets(self) -> tuple[int, ...]:
-        """The hashes of the view, dead members left out, by bucket of addresses."""
+        """The hash of each bucket of addresses, without dead members."""
         return tuple(self._buckets)
 
     @property
     def view_hash(self) -> int:
-        """A hash of the whole view."""
+        """A hash of the whole view, without dead members."""
         combined = 0
         for bucket in self._buckets:
             combined ^= bucket
@@ -78,17 +78,17 @@
 
     @property
     def has_news(self) -> bool:
-        """Some facts have not been told on often enough."""
-        return bool(self._copies_left)
+        """Whether there are updates still to be gossiped."""
+        return bool(self._remaining_copies)
 
     @property
     def has_urgent_news(self) -> bool:
-        """Among the news is more than epochs and loads."""
+        """Whether updates other than of epochs and small changes of load are to be gossiped."""
         return bool(self._urgent)
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """All members by address, this instance and the dead among them."""
+        """All members sorted by address, including this instance and dead ones."""
         if self._members is None:
             self._members = tuple(
                 make_member(fact, dead=self.is_dead(address))
@@ -97,15 +97,15 @@
         return self._members
 
     def fact(self, address: str) -> Fact | None:
-        """Return the newest fact on an address."""
+        """Return the newest fact on an address; None if there is none."""
         return self._facts.get(address)
 
     def is_dead(self, address: str) -> bool:
-        """Tell whether an address is taken for dead."""
+        """Return whether this instance considers the member at an address dead."""
         return address in self._dead_since or self._facts[address].state == "dead"
 
     def reachable(self) -> list[Fact]:
-        """Return all facts but the own one and those of the dead."""
+        """Return the facts of all other members that are not dead."""
         return [
             fact
             for address, fact in self._facts.items()
@@ -113,92 +113,102 @@
         ]
 
     def dead(self) -> list[Fact]:
-        """Return the facts of the dead."""
+        """Return the facts of dead members."""
         return [fact for address, fact in self._facts.items() if self.is_dead(address)]
 
     def publish(self, own: Fact) -> None:
-        """Change what this instance says of itself."""
+        """Replace the fact of this instance, with a higher sequence."""
         self._own = own._replace(sequence=self._own.sequence + 1, suspect=False)
         self._store(self._own)
 
     def apply(self, fact: Fact) -> bool:
-        """Take in a fact; True if it was news."""
-        if not fact.is_possible:
+        """Merge a received fact; return whether it changed the view."""
+        if not fact.is_valid:
             log_event("fact-impossible", level="WARNING", address=fact.address, fact=fact)
             return False
         known = self._facts.get(fact.address)
         if fact.address == self._own.address:
             return self._refute(fact)
-        if known is None and len(self._facts) >= MOST_MEMBERS:
+        if known is None and len(self._facts) >= MAX_MEMBERS:
             return False
-        if known is not None and fact.order <= known.order:
+        if known is not None and fact.recency <= known.recency:
             return False
         self._store(fact)
         return True
 
     def apply_news(self, news: News) -> bool:
-        """Take in news; True if some of it was new here."""
+        """Merge received updates; return whether they changed the view."""
         applied = [self.apply(fact) for fact in news.facts]
         applied += [self._apply_change(change) for change in news.changes]
         return any(applied)
 
     def suspect(self, fact: Fact) -> None:
-        """Doubt that a member lives, unless something newer was heard of it meanwhile."""
+        """Mark a member as suspect, unless a newer fact on it has arrived meanwhile."""
         if self._facts.get(fact.address) == fact and not fact.suspect:
             self._store(fact._replace(suspect=True))
 
-    def conclude_deaths(self, *, suspicion_s: float) -> list[Fact]:
-        """Take for dead whom has been suspected, without a word from it, for ``suspicion_s``."""
-        limit = self._monotonic() - suspicion_s
-        died = [
+    def declare_deaths(self, *, suspicion_s: float) -> list[Fact]:
+        """Declare members dead that have not refuted a suspicion for ``suspicion_s`` seconds."""
+        cutoff = self._monotonic() - suspicion_s
+        newly_dead = [
             self._facts[address]
             for address, since in self._suspect_since.items()
-            if since <= limit and not self.is_dead(address)
+            if since <= cutoff and not self.is_dead(address)
         ]
-        for fact in died:
-            self._toggle(fact)
+        for fact in newly_dead:
+            self._toggle_hash(fact)
             self._dead_since[fact.address] = self._monotonic()
             self._members = None
-        return died
+        return newly_dead
 
-    def forget(self, *, dead_s: float) -> None:
-        """Drop members that have been dead for ``dead_s``."""
-        limit = self._monotonic() - dead_s
+    def expire_dead(self, *, retention_s: float) -> None:
+        """Remove members that have been dead for ``retention_s`` seconds."""
+        cutoff = self._monotonic() - retention_s
         for address, since in list(self._dead_since.items()):
-            if since <= limit:
+            if since <= cutoff:
                 self._remove(address)
 
-    def take_news(self, most: int) -> News:
-        """Return what was told on least, counting it as told."""
-        addresses = sorted(self._copies_left, key=lambda address: -self._copies_left[address])
+    def collect_news(self, max_count: int) -> News:
+        """Return up to ``max_count`` updates, least often sent first, and count them as sent."""
+        addresses = sorted(
+            self._remaining_copies, key=lambda address: -self._remaining_copies[address]
+        )
         facts: list[Fact] = []
         changes: list[Change] = []
-        for address in addresses[:most]:
+        for address in addresses[:max_count]:
             if address in self._new_processes:
                 facts.append(self._facts[address])
             else:
-                changes.append(change_of(self._facts[address]))
+                changes.append(extract_change(self._facts[address]))
             self._count_copy(address)
         return News(tuple(facts), tuple(changes))
 
-    def in_buckets_unlike(self, buckets: Iterable[int]) -> list[Fact]:
-        """Return the facts in all buckets whose hash differs, the dead as suspects among them."""
-        unlike = {
+    def facts_in_differing_buckets(self, buckets: Iterable[int]) -> list[Fact]:
+        """Return the facts in all buckets whose hash differs.
+
+        Members that this instance declared dead are included, marked as suspect.
+        """
+        differing = {
             index
             for index, (own, other) in enumerate(zip(self._buckets, buckets, strict=False))
             if own != other
         }
-        return [fact for address, fact in self._facts.items() if _bucket_of(address) in unlike]
+        return [
+            fact for address, fact in self._facts.items() if _bucket_index(address) in differing
+        ]
 
     def _refute(self, fact: Fact) -> bool:
-        # Somebody doubts that this instance lives, or remembers the process that had this address
-        # before. Only a higher sequence ends that; otherwise this instance would be dead to all.
-        another = fact.incarnation != self._own.incarnation
-        if fact.order <= self._own.order and not (another and fact.sequence >= self._own.sequence):
+        # Another instance suspects this one, or still knows the former process at this address.
+        # Only a fact with a higher sequence overrides that; without it all instances would
+        # consider this one dead.
+        is_other_process = fact.incarnation != self._own.incarnation
+        if fact.recency <= self._own.recency and not (
+            is_other_process and fact.sequence >= self._own.sequence
+        ):
             return False
         self._own = self._own._replace(sequence=fact.sequence)
         self.publish(self._own)
-        if another:
+        if is_other_process:
             self._new_processes.add(self._own.address)
         return True
 
@@ -207,20 +217,20 @@
             known = self._facts.get(unpack_address(change.packed_address))
         except ValueError:
             return False
-        fact = changed_fact(known, change) if known is not None else None
+        fact = apply_change(known, change) if known is not None else None
         return fact is not None and self.apply(fact)
 
     def _count_copy(self, address: str) -> None:
-        self._copies_left[address] -= 1
-        if self._copies_left[address] <= 0:
-            del self._copies_left[address]
+        self._remaining_copies[address] -= 1
+        if self._remaining_copies[address] <= 0:
+            del self._remaining_copies[address]
             self._urgent.discard(address)
             self._new_processes.discard(address)
 
     def _store(self, fact: Fact) -> None:
         known = self._facts.get(fact.address)
         if known is not None and not self.is_dead(fact.address):
-            self._toggle(known)
+            self._toggle_hash(known)
         if known is None or known.incarnation != fact.incarnation:
             self._new_processes.add(fact.address)
         self._facts[fact.address] = fact
@@ -232,12 +242,12 @@
         if fact.state == "dead":
             self._dead_since[fact.address] = self._monotonic()
         else:
-            self._toggle(fact)
+            self._toggle_hash(fact)
         if known is None or self._is_urgent(fact, known):
             self._urgent.add(fact.address)
-        # A leave that is still being told must not be told more rarely for a load after it.
-        left = self._copies_left.get(fact.address, 0)
-        self._copies_left[fact.address] = max(left, self._copies_of(fact, known))
+        # An update of the load must not reduce the copies of a leave that is still being gossiped.
+        remaining_copies = self._remaining_copies.get(fact.address, 0)
+        self._remaining_copies[fact.address] = max(remaining_copies, self._max_copies(fact, known))
         self._members = None
 
     def _is_urgent(self, fact: Fact, known: Fact) -> bool:
@@ -245,26 +255,26 @@
             return True
         return known != fact._replace(sequence=known.sequence, epoch=known.epoch, load=known.load)
 
-    def _copies_of(self, fact: Fact, known: Fact | None) -> int:
-        same = known is not None and (known.incarnation, known.state, known.suspect) == (
+    def _max_copies(self, fact: Fact, known: Fact | None) -> int:
+        is_same_state = known is not None and (known.incarnation, known.state, known.suspect) == (
             fact.incarnation,
             fact.state,
             fact.suspect,
         )
-        return self._report_copies if same else self._gossip_copies
+        return self._report_copies if is_same_state else self._gossip_copies
 
     def _remove(self, address: str) -> None:
         del self._facts[address]
         self._dead_since.pop(address, None)
         self._suspect_since.pop(address, None)
-        self._copies_left.pop(address, None)
+        self._remaining_copies.pop(address, None)
         self._urgent.discard(address)
         self._new_processes.discard(address)
         self._members = None
 
-    def _toggle(self, fact: Fact) -> None:
-        self._buckets[_bucket_of(fact.address)] ^= fact.hash
+    def _toggle_hash(self, fact: Fact) -> None:
+        self._buckets[_bucket_index(fact.address)] ^= fact.hash
 
 
-def _bucket_of(address: str) -> int:
-    return crc32(address.encode()) % BUCKETS
+def _bucket_index(address: str) -> int:
+    return crc32(address.encode()) % BUCKET_COUNT
--- a/src/wagtailpoint/placement/placement.py
+++ b/src/wagtailpoint/placement/placement.py
@@ -1,4 +1,4 @@
-"""The choice of a backend server: affinity, load, distance and evidence, weighed as one loss."""
+"""Choice of a backend server: affinity, load, distance and failures, weighed as one loss."""
 
 from collections.abc import Sequence
 from typing import Final
@@ -14,28 +14,28 @@
     Demand,
     NotPlaced,
     Observation,
-    is_hopeless,
-    loss_of,
+    expected_loss,
+    is_too_late,
 )
 from wagtailpoint.placement.cold_pacing import ColdPacing
 from wagtailpoint.placement.distances import Distances
 from wagtailpoint.placement.entry_counts import EntryCounts
-from wagtailpoint.placement.learned import Learned
-from wagtailpoint.placement.ranking import Ranked, Ranking, preferred_of
+from wagtailpoint.placement.estimates import Estimates
+from wagtailpoint.placement.ranking import Ranked, Ranking, select_preferred
 from wagtailpoint.placement.region_mix import RegionMix
-from wagtailpoint.placement.server_load import ServerLoad, Underway
+from wagtailpoint.placement.server_load import InFlightRequest, ServerLoad
 from wagtailpoint.placement.utilisation import Utilisation
-from wagtailpoint.placement.weighing import Weigher, cold_per_s
+from wagtailpoint.placement.weigher import Weigher, cold_per_s
 
-SPILL_UTILISATION: Final = 0.3
-"""Below this part of a service's slots in use a request goes on to another backend server when
-those that should have its key could not serve it. Its object is not cached there, and takes the
-time of three that are: under high load whoever went on would take the room of others, who would go
-on, too."""
+MAX_SPILLOVER_UTILISATION: Final = 0.3
+"""Maximum utilisation of a service's slots at which a request may spill over to another backend
+server if the preferred ones cannot serve it. Its object is not cached there and takes the time of
+three cached ones, so under high load it would displace other requests, which would spill over
+too."""
 
 
 class Placement:
-    """Chooses backend servers, and learns from what becomes of the requests."""
+    """Chooses backend servers, and updates its estimates from the results of requests."""
 
     def __init__(
         self,
@@ -47,23 +47,23 @@
         mix: RegionMix,
         entries: EntryCounts,
     ) -> None:
-        """Make it.
+        """Initialise the placement without estimates.
 
         Args:
             fleet: The backend servers.
-            distances: How far they are.
-            cold: Paces those that are cold.
-            cached_fraction: Which keys each failure domain holds.
-            mix: In which regions requests run.
-            entries: How many instances share the callers.
+            distances: The round-trip times to them.
+            cold: Limits the requests to cold backend servers.
+            cached_fraction: The fraction of keys to cache in each failure domain.
+            mix: Limits how fast requests shift between regions.
+            entries: The numbers of instances that share the callers.
         """
         self._fleet = fleet
         self._distances = distances
         self._cold = cold
-        self._cached_part = cached_fraction
+        self._cached_fraction = cached_fraction
         self._mix = mix
-        self._learned = Learned()
-        self._utilisation = Utilisation(fleet=fleet, distances=distances, learned=self._learned)
+        self._estimates = Estimates()
+        self._utilisation = Utilisation(fleet=fleet, distances=distances, estimates=self._estimates)
         self._ranking = Ranking(
             fleet=fleet, own_domain=distances.failure_domain, own_region=distances.region
         )
@@ -72,115 +72,128 @@
             distances=distances,
             cold=cold,
             cached_fraction=cached_fraction,
-            learned=self._learned,
+            estimates=self._estimates,
             entries=entries,
         )
 
     def load_of(self, entry: ServerEntry) -> ServerLoad:
-        """What is believed of a backend server since its start."""
-        return self._learned.load_of(entry)
+        """Return the estimated load and health of a backend server since its start."""
+        return self._estimates.load_of(entry)
 
     def record_request(self, demand: Demand) -> None:
-        """A request of a caller came."""
-        cost = self._learned.cost_of(demand.route, demand.service)
+        """Record a request of a caller."""
+        cost = self._estimates.cost_of(demand.route, demand.service)
         now = trio.current_time()
-        self._cached_part.record_request(demand.service, cost.service_s(now))
-        self._learned.reuse_of(demand.route).note(demand.key, now)
+        self._cached_fraction.record_request(demand.service, cost.service_s(now))
+        self._estimates.reuse_of(demand.route).record(demand.key, now)
 
     def choose(self, demand: Demand) -> Choice | NotPlaced:
-        """Choose where a request goes."""
+        """Choose the backend server for a request."""
         now = trio.current_time()
-        order = self._ranking.of(demand.service, demand.key, demand.route.home_regions)
-        # When all are suspect the suspicion is of no use: the fault may be on our side.
+        order = self._ranking.order_candidates(
+            demand.service, demand.key, demand.route.home_regions
+        )
+        # If all backend servers are suspect, the fault may be at this instance: ignore the
+        # suspicion.
         reachable = [
-            each for each in order.ranked if not self._is_suspect(each.candidate.entry, now)
+            option for option in order.ranked if not self._is_suspect(option.candidate.entry, now)
         ] or order.ranked
-        untried = [each for each in reachable if each.candidate.entry.server_id not in demand.tried]
+        untried = [
+            option for option in reachable if option.candidate.entry.server_id not in demand.tried
+        ]
         if not untried:
             return NotPlaced("no backend server")
-        wanted = self._wanted(order.ranked, reachable, now)
-        utilisation = self._utilisation.of(demand.service, now)
+        preferred = self._preferred_servers(order.ranked, reachable, now)
+        utilisation = self._utilisation.estimate(demand.service, now)
 
-        def weigh(each: Ranked) -> Choice | Declined:
-            return self._weigher.weigh(demand, each, order.position, utilisation, now)
+        def weigh(option: Ranked) -> Choice | Declined:
+            return self._weigher.weigh(demand, option, order.position, utilisation, now)
 
-        left = [each for each in untried if each in wanted]
-        if not left and utilisation < SPILL_UTILISATION:
-            left = untried[:1]
-        weighed = [weigh(each) for each in left]
-        choices = [each for each in weighed if isinstance(each, Choice)]
+        weighable = [option for option in untried if option in preferred]
+        if not weighable and utilisation < MAX_SPILLOVER_UTILISATION:
+            weighable = untried[:1]
+        weighed = [weigh(option) for option in weighable]
+        choices = [option for option in weighed if isinstance(option, Choice)]
         if not choices:
-            return NotPlaced("no room", [each for each in weighed if isinstance(each, Declined)])
-        best = self._least_loss(choices, demand.remaining_s, now)
-        if is_hopeless(best, demand.remaining_s):
+            return NotPlaced(
+                "no room", [option for option in weighed if isinstance(option, Declined)]
+            )
+        best = self._choose_least_loss(choices, demand.remaining_s, now)
+        if is_too_late(best, demand.remaining_s):
             return NotPlaced("too late")
         return best
 
-    def _wanted(
+    def _preferred_servers(
         self, ranked: Sequence[Ranked], reachable: Sequence[Ranked], now: float
     ) -> set[Ranked]:
-        """Those to which a request should go if they have room."""
-        wanted = set(preferred_of(ranked)).intersection(reachable)
-        if not wanted:
-            return set(preferred_of(reachable))
-        failing = {each for each in wanted if self.load_of(each.candidate.entry).is_failing(now)}
+        """Return the candidates that should serve a request if they have capacity."""
+        preferred = set(select_preferred(ranked)).intersection(reachable)
+        if not preferred:
+            return set(select_preferred(reachable))
+        failing = {
+            option for option in preferred if self.load_of(option.candidate.entry).is_failing(now)
+        }
         if failing:
-            # They stay in the choice: what they give is weighed against an object not cached.
-            wanted.update(preferred_of([each for each in reachable if each not in failing]))
-        return wanted
+            # Failing servers stay candidates: they are weighed against servers without the object.
+            preferred.update(
+                select_preferred([option for option in reachable if option not in failing])
+            )
+        return preferred
 
-    def _least_loss(self, choices: Sequence[Choice], left_s: float, now: float) -> Choice:
-        """The best choice, in another region if too many requests would come to its own at once.
+    def _choose_least_loss(
+        self, choices: Sequence[Choice], remaining_s: float, now: float
+    ) -> Choice:
+        """Return the choice with the least loss whose region has not reached its shift limit.
 
-        A sound backend server with room must be there for that: what changes because others fail
-        or fill up may change at once.
+        The limit applies only if another region has a healthy backend server with capacity: shifts
+        that are due to failing or full backend servers may happen at once.
         """
-        best = min(choices, key=loss_of)
-        if not self._mix.is_full(best.region, now):
+        best = min(choices, key=expected_loss)
+        if not self._mix.is_at_limit(best.region, now):
             return best
-        others = [
-            each
-            for each in choices
-            if not self._mix.is_full(each.region, now)
-            and not is_hopeless(each, left_s)
-            and self.load_of(each.entry).is_sound(now)
+        alternatives = [
+            option
+            for option in choices
+            if not self._mix.is_at_limit(option.region, now)
+            and not is_too_late(option, remaining_s)
+            and self.load_of(option.entry).is_healthy(now)
         ]
-        return min(others, key=loss_of, default=best)
+        return min(alternatives, key=expected_loss, default=best)
 
-    def record_send(self, demand: Demand, choice: Choice) -> Underway:
-        """A request is sent."""
+    def record_send(self, demand: Demand, choice: Choice) -> InFlightRequest:
+        """Record that a request is sent; return its record for ``record_end``."""
         entry = choice.entry
         now = trio.current_time()
-        self._mix.note(choice.region, now)
+        self._mix.record(choice.region, now)
         if self._fleet.is_cold(entry.start):
             self._cold.record_sent(entry.start, choice.region, cold_per_s(demand.policy))
-        stays_s = choice.expected.wait_s + choice.expected.service_s
-        return self.load_of(entry).record_send(now, stays_s)
+        expected_stay_s = choice.expected.wait_s + choice.expected.service_s
+        return self.load_of(entry).record_send(now, expected_stay_s)
 
-    def record_end(self, entry: ServerEntry, underway: Underway) -> None:
-        """A request that was sent is over."""
-        self.load_of(entry).record_end(underway)
+    def record_end(self, entry: ServerEntry, request: InFlightRequest) -> None:
+        """Record that a request has ended, whatever its result."""
+        self.load_of(entry).record_end(request)
 
     def record_answer(self, demand: Demand, choice: Choice, seen: Observation) -> None:
-        """Take note of an answer, before ``ended``."""
+        """Record an answer; must be called before ``record_end``."""
         now = trio.current_time()
         entry = choice.entry
         load = self.load_of(entry)
         round_trip_s = self._distances.round_trip_s(entry.failure_domain)
         if seen.report is not None:
             load.record_report(seen.report, now, round_trip_s)
-        # A full backend server that sheds does what it should; one with room is at fault.
-        full = seen.report is not None and seen.report.running >= seen.report.slots
-        load.record_answer(now, failed=seen.failed or (seen.shed and not full))
+        # Shedding is correct for a full backend server, and a failure of one with free slots.
+        is_full = seen.report is not None and seen.report.running >= seen.report.slots
+        load.record_answer(now, failed=seen.failed or (seen.shed and not is_full))
         self._fleet.record_cold(entry.start, seen.cold_s)
         if seen.failed or seen.shed:
             return
         service_s = max(0.001, seen.latency_s - round_trip_s)
         expected_s = max(0.001, choice.expected.latency_s - round_trip_s)
-        load.note_latency(service_s, expected_s, now)
-        self._learned.warm_of(entry).note(demand.key, now)
+        load.record_latency(service_s, expected_s, now)
+        self._estimates.warm_of(entry).record(demand.key, now)
         if choice.occupancy < entry.slots - 1:
-            self._learned.record_answer(
+            self._estimates.record_answer(
                 demand.route, demand.service, service_s, seen.reply_bytes, now
             )
 
@@ -189,7 +202,7 @@
         return self.load_of(entry).is_suspect(now, round_trip_s)
 
     def servers_to_probe(self) -> list[ServerEntry]:
-        """The backend servers that have rested for long enough after a failure to reach them."""
+        """Return the unreachable backend servers whose backoff has expired."""
         now = trio.current_time()
         return [
             entry
@@ -198,18 +211,18 @@
         ]
 
     def record_unreachable(self, entry: ServerEntry) -> float:
-        """A backend server could not be reached, or broke off; return how long it rests."""
+        """Record a backend server as unreachable; return its backoff in seconds."""
         return self.load_of(entry).record_unreachable(trio.current_time())
 
     def record_reachable(self, entry: ServerEntry) -> None:
-        """A connection to a backend server opened after it had rested."""
+        """Record that a connection to a backend server opened after its backoff."""
         self.load_of(entry).record_reachable()
 
     def record_broken_exchange(self, entry: ServerEntry) -> None:
-        """An exchange broke off; it may be the backend server's fault, or the connection's."""
+        """Record an exchange broken off by a fault of the backend server or the connection."""
         self.load_of(entry).record_answer(trio.current_time(), failed=True)
 
     def remove(self, start: ServerStart) -> None:
-        """Forget a backend server that is gone, or has started again."""
-        self._learned.remove(start)
+        """Remove a backend server that is gone or has restarted."""
+        self._estimates.remove(start)
         self._cold.remove(start)
--- a/src/wagtailpoint/placement/ranking.py
+++ b/src/wagtailpoint/placement/ranking.py
@@ -1,4 +1,4 @@
-"""The order of backend servers for an affinity key: the same on every instance."""
+"""Order of the backend servers for an affinity key, the same on every instance."""
 
 from collections.abc import Sequence
 from typing import Final, NamedTuple
@@ -6,13 +6,14 @@
 from wagtailpoint.discovery.fleet import Candidate, Fleet
 from wagtailpoint.rendezvous import rendezvous_score
 
-MOST_REMEMBERED: Final = 8192
-"""Keys whose order is remembered; each takes about 1 KB."""
+MAX_CACHED_ORDERS: Final = 8192
+"""Maximum number of keys with a cached order; each takes about 1 KB."""
 
-MOST_ANYWHERE: Final = 6
-MOST_NEAR: Final = 3
-"""How many are ordered for one key, of all and of the own failure domain and region: enough to go
-on to when the first ones were tried, are full or can't be reached."""
+MAX_GLOBAL_CANDIDATES: Final = 6
+MAX_LOCAL_CANDIDATES: Final = 3
+"""Maximum numbers of candidates for one key: of all backend servers, and of this instance's failure
+domain and region each. They leave alternatives when the first ones were tried, are full or cannot
+be reached."""
 
 _FULL_SCALE: Final = float(1 << 64)
 
@@ -22,25 +23,25 @@
 
     Attributes:
         candidate: The backend server.
-        rank: Its place among all that may serve the request; 0 is the one that all instances know.
-        in_domain: It is in the own failure domain.
-        in_region: It is in the own region.
-        first_of_region: It is the first one there.
+        rank: The rank among all that may serve the request, from 0; the same on all instances.
+        in_domain: The backend server is in this instance's failure domain.
+        in_region: The backend server is in this instance's region.
+        is_first_in_region: The backend server has the lowest rank in this instance's region.
     """
 
     candidate: Candidate
     rank: int
     in_domain: bool
     in_region: bool
-    first_of_region: bool
+    is_first_in_region: bool
 
 
 class KeyOrder(NamedTuple):
     """The candidates for one affinity key.
 
     Attributes:
-        position: Of the key among all keys of the service, evenly spread from 0 to 1.
-        ranked: The candidates.
+        position: The position of the key among all keys of the service, uniform from 0 to 1.
+        ranked: The candidates by rank.
     """
 
     position: float
@@ -50,68 +51,72 @@
 class Ranking:
     """Orders the candidates of a service by rendezvous hashing.
 
-    When a backend server comes or goes, only the keys that it has or had get another first one;
-    all others keep theirs, with what it has in its cache of them.
+    When a backend server is added or removed, only the keys for which it ranks first are assigned
+    another first backend server; all other keys keep theirs and its cache.
     """
 
     def __init__(self, *, fleet: Fleet, own_domain: str, own_region: str) -> None:
-        """Make it.
+        """Initialise an empty cache of orders.
 
         Args:
             fleet: The backend servers.
-            own_domain: This instance's failure domain.
-            own_region: This instance's region.
+            own_domain: The failure domain of this instance.
+            own_region: The region of this instance.
         """
         self._fleet = fleet
         self._own_domain = own_domain
         self._own_region = own_region
         self._generation = -1
-        self._known: dict[tuple[str, str, frozenset[str] | None], KeyOrder] = {}
-
-    def of(self, service: str, key: str, home_regions: frozenset[str] | None) -> KeyOrder:
-        """The candidates for a key, in the regions ``home_regions`` only, unless that is None."""
-        if self._generation != self._fleet.generation or len(self._known) > MOST_REMEMBERED:
-            self._known = {}
+        self._orders: dict[tuple[str, str, frozenset[str] | None], KeyOrder] = {}
+
+    def order_candidates(
+        self, service: str, key: str, home_regions: frozenset[str] | None
+    ) -> KeyOrder:
+        """Return the candidates for a key, in ``home_regions`` only unless that is None."""
+        if self._generation != self._fleet.generation or len(self._orders) > MAX_CACHED_ORDERS:
+            self._orders = {}
             self._generation = self._fleet.generation
-        found = self._known.get((service, key, home_regions))
+        found = self._orders.get((service, key, home_regions))
         if found is None:
             position = rendezvous_score(key, "") / _FULL_SCALE
             found = KeyOrder(position, tuple(self._order(service, key, home_regions)))
-            self._known[service, key, home_regions] = found
+            self._orders[service, key, home_regions] = found
         return found
 
     def _order(self, service: str, key: str, home_regions: frozenset[str] | None) -> list[Ranked]:
         allowed = [
-            each
-            for each in self._fleet.candidates(service)
-            if home_regions is None or each.region in home_regions
+            candidate
+            for candidate in self._fleet.candidates(service)
+            if home_regions is None or candidate.region in home_regions
         ]
-        allowed.sort(key=lambda each: -rendezvous_score(key, each.entry.server_id))
-        first_here = next((each for each in allowed if each.region == self._own_region), None)
+        allowed.sort(key=lambda candidate: -rendezvous_score(key, candidate.entry.server_id))
+        first_in_region = next(
+            (candidate for candidate in allowed if candidate.region == self._own_region), None
+        )
         ranked = [
             Ranked(
-                candidate=each,
+                candidate=candidate,
                 rank=rank,
-                in_domain=each.entry.failure_domain == self._own_domain,
-                in_region=each.region == self._own_region,
-                first_of_region=each is first_here,
+                in_domain=candidate.entry.failure_domain == self._own_domain,
+                in_region=candidate.region == self._own_region,
+                is_first_in_region=candidate is first_in_region,
             )
-            for rank, each in enumerate(allowed)
+            for rank, candidate in enumerate(allowed)
         ]
-        near = [each for each in ranked if each.in_region][:MOST_NEAR]
-        nearest = [each for each in ranked if each.in_domain][:MOST_NEAR]
-        kept = {each.rank for each in (*ranked[:MOST_ANYWHERE], *near, *nearest)}
+        near = [candidate for candidate in ranked if candidate.in_region][:MAX_LOCAL_CANDIDATES]
+        nearest = [candidate for candidate in ranked if candidate.in_domain][:MAX_LOCAL_CANDIDATES]
+        kept = {candidate.rank for candidate in (*ranked[:MAX_GLOBAL_CANDIDATES], *near, *nearest)}
         return [ranked[rank] for rank in sorted(kept)]
 
 
-def preferred_of(usable: Sequence[Ranked]) -> list[Ranked]:
-    """Those of the usable backend servers to which a request should go, the first of all in front.
+def select_preferred(usable: Sequence[Ranked]) -> list[Ranked]:
+    """Return the usable candidates that a request should go to, the one with the lowest rank first.
 
-    The first of all, of the own failure domain and of the own region. With one more of all every
-    key was on most backend servers, their caches overflowed, and what an object that is not cached
-    takes three times as long for left no room for others.
+    They are the first of all, of this instance's failure domain and of its region. With a second
+    candidate of all, every key would be cached on most backend servers; their caches would
+    overflow, and uncached objects, which take three times as long, would fill the slots.
     """
     first = usable[:1]
-    nearest = [each for each in usable if each.in_domain][:1]
-    near = [each for each in usable if each.in_region][:1]
+    nearest = [candidate for candidate in usable if candidate.in_domain][:1]
+    near = [candidate for candidate in usable if candidate.in_region][:1]
     return list(dict.fromkeys((*first, *nearest, *near)))
--- a/tests/nocover/test_move_schedules.py
+++ b/tests/nocover/test_move_schedules.py
@@ -1,4 +1,4 @@
-"""Writers of a move under random schedules of freezes, outages, lost answers and passing time."""
+"""Writers of a move under random schedules of freezes, outages, lost answers and delays."""
 
 import unittest
 from random import Random
@@ -26,16 +26,16 @@
 logger.disable("wagtailpoint.moves")
 
 
-class Wrote(NamedTuple):
-    """A progress that landed."""
+class Write(NamedTuple):
+    """A write of the progress that the platform accepted."""
 
     at: float
     step: int
     version: int
 
 
-class OneWriter:
-    """A writer that can be frozen in the middle of a write."""
+class FreezableWriter:
+    """A writer that can be frozen during a write."""
 
     def __init__(self, *, number: int, shared: FakePlatform, clock: FakeClock) -> None:
         own = PeerAddress(f"127.9.0.{number}", 7000, number)
@@ -74,7 +74,7 @@
         self._thawed = trio.Event()
 
     async def step(self) -> None:
-        """One step of the writer, unless one is under way."""
+        """Run one step of the writer, unless one is in progress."""
         if self.running:
             return
         self.running = True
@@ -87,20 +87,20 @@
 
 
 class Schedule:
-    """One random schedule, and what landed in the platform."""
+    """A random schedule, and the writes that the platform accepted."""
 
     def __init__(self, *, seed: int) -> None:
         self._random = Random(seed)
         self._clock = FakeClock()
         self._shared = FakePlatform()
         self._writers = [
-            OneWriter(number=number, shared=self._shared, clock=self._clock)
+            FreezableWriter(number=number, shared=self._shared, clock=self._clock)
             for number in range(1, WRITERS + 1)
         ]
-        self.wrote: list[Wrote] = []
+        self.writes: list[Write] = []
 
     async def run(self) -> None:
-        """Take random actions, then let everything go on."""
+        """Take random actions, then end all faults and let the move finish."""
         async with trio.open_nursery() as nursery:
             for _ in range(ACTIONS):
                 await self._act(nursery)
@@ -134,33 +134,33 @@
         for writer in self._random.sample(self._writers, WRITERS):
             nursery.start_soon(writer.step)
             await trio.testing.wait_all_tasks_blocked()
-            self._look()
+            self._record_write()
 
-    def _look(self) -> None:
+    def _record_write(self) -> None:
         stored = self._shared.store.get(PROGRESS_KIND, MOVE.name)
-        if stored is None or (self.wrote and self.wrote[-1].version == stored.version):
+        if stored is None or (self.writes and self.writes[-1].version == stored.version):
             return
-        self.wrote.append(Wrote(self._clock.now, stored.value["step"], stored.version))
+        self.writes.append(Write(self._clock.now, stored.value["step"], stored.version))
 
 
 class MoveSchedulesTest(unittest.TestCase):
-    def test_steps_come_one_by_one_and_each_is_held(self) -> None:
-        """Symptom: two steps within a second, or a step skipped.
+    def test_steps_advance_one_by_one_and_each_is_held(self) -> None:
+        """Guards against two steps within a second, and against a skipped step.
 
-        Sequence: a writer freezes between its decision and its write, or loses the platform or an
-        answer; another takes over; the first wakes and its write arrives, or it decides on what it
-        knew. Cause: a decision made on a progress that is not the newest any more.
+        A writer freezes between its decision and its write, or loses the platform or an answer,
+        and another takes over. The first resumes, and its write arrives or it decides by a
+        progress that is stale.
         """
         for seed in range(SCHEDULES):
             schedule = Schedule(seed=seed)
             trio.run(schedule.run)
             with self.subTest(seed=seed):
-                steps = [wrote.step for wrote in schedule.wrote]
+                steps = [write.step for write in schedule.writes]
                 self.assertEqual(steps[-1], len(MOVE.steps) - 1)
-                raises = [
+                step_changes = [
                     (later.at - earlier.at, later.step - earlier.step)
-                    for earlier, later in zip(schedule.wrote, schedule.wrote[1:], strict=False)
+                    for earlier, later in zip(schedule.writes, schedule.writes[1:], strict=False)
                     if later.step != earlier.step
                 ]
-                self.assertEqual({by for _, by in raises}, {1})
-                self.assertGreaterEqual(min(after for after, _ in raises), HOLD_S)
+                self.assertEqual({by for _, by in step_changes}, {1})
+                self.assertGreaterEqual(min(after for after, _ in step_changes), HOLD_S)
