--- a/src/wagtailpoint/adapters/peer_codec.py
+++ b/src/wagtailpoint/adapters/peer_codec.py
@@ -12,8 +12,8 @@
     PeerAddress,
     PeerCounts,
     Traffic,
-    kind_of,
-    type_of,
+    get_message_kind,
+    get_message_type,
 )
 
 
@@ -104,7 +104,7 @@
 ) -> bytes:
     """Put a message into its envelope."""
     envelope = Envelope(
-        kind=kind_of(type(message)),
+        kind=get_message_kind(type(message)),
         address=sender.address,
         port=sender.port,
         incarnation=sender.incarnation,
@@ -131,7 +131,7 @@
     if envelope.to_incarnation not in (own_incarnation, ANY_INCARNATION):
         meter.dropped("other-incarnation")
         return None
-    message_type = type_of(envelope.kind)
+    message_type = get_message_type(envelope.kind)
     if message_type is None:
         meter.dropped("unknown-kind")
         return None
--- a/src/wagtailpoint/adapters/peer_dispatch.py
+++ b/src/wagtailpoint/adapters/peer_dispatch.py
@@ -10,14 +10,14 @@
 from wagtailpoint.observe.hlc import HybridClock
 from wagtailpoint.observe.log import log_event
 from wagtailpoint.ports.peers import (
-    MOST_MESSAGE_BYTES,
+    MAX_MESSAGE_BYTES,
     Handler,
     Message,
     PeerAddress,
     PeerCounts,
     PeerFailure,
     Received,
-    kind_of,
+    get_message_kind,
 )
 
 
@@ -108,13 +108,13 @@
             number=number,
             reply_to=reply_to,
         )
-        if len(data) > MOST_MESSAGE_BYTES:
+        if len(data) > MAX_MESSAGE_BYTES:
             self._meter.dropped("too-large")
             return False
         if not self._transmit(to, data):
             self._meter.dropped("link-full")
             return False
-        self._meter.sent(kind_of(type(message)), len(data))
+        self._meter.sent(get_message_kind(type(message)), len(data))
         return True
 
     def _receive(self, data: bytes) -> None:
@@ -151,7 +151,7 @@
             log_event(
                 "peer-handler-failed",
                 level="ERROR",
-                kind=kind_of(type(received.message)),
+                kind=get_message_kind(type(received.message)),
                 sender=received.sender,
                 error=repr(error),
             )
--- a/src/wagtailpoint/adapters/peers_nng.py
+++ b/src/wagtailpoint/adapters/peers_nng.py
@@ -11,7 +11,7 @@
 from wagtailpoint.adapters.peer_dispatch import DispatchingPeers
 from wagtailpoint.observe.hlc import HybridClock
 from wagtailpoint.ports.clock import Clock
-from wagtailpoint.ports.peers import MOST_MESSAGE_BYTES, PeerAddress
+from wagtailpoint.ports.peers import MAX_MESSAGE_BYTES, PeerAddress
 
 LINK_BUFFER_MESSAGES = 64
 LINK_IDLE_S = 30.0
@@ -88,7 +88,7 @@
             pynng.AddressInUse: Another process listens at the address.
         """
         limit_threads()
-        with pynng.Pull0(recv_max_size=MOST_MESSAGE_BYTES) as listener:
+        with pynng.Pull0(recv_max_size=MAX_MESSAGE_BYTES) as listener:
             listener.listen(f"tcp://{self.address.address}:{self.address.port}")
             try:
                 async with trio.open_nursery() as nursery:
--- a/src/wagtailpoint/checking.py
+++ b/src/wagtailpoint/checking.py
@@ -142,7 +142,7 @@
         """Return the names of the fields that the object has."""
         return tuple(self._fields)
 
-    def note(self, *names: str) -> None:
+    def mark_known(self, *names: str) -> None:
         """Mark fields as known without reading them."""
         self._seen.update(names)
 
--- a/src/wagtailpoint/cli/config_commands.py
+++ b/src/wagtailpoint/cli/config_commands.py
@@ -153,7 +153,7 @@
     async with session.open_store() as opened:
         if isinstance(opened, Err):
             return opened
-        found = await opened.ok_value.history(most=most)
+        found = await opened.ok_value.history(max_changes=most)
     if isinstance(found, Err):
         return found
     changes = [info for info in found.ok_value if change_id in (None, info.change_id)]
@@ -195,7 +195,7 @@
     if to_version >= current.version:
         expected = f"a version before the newest, {current.version}"
         return Err(wrong_input("--to", str(to_version), expected))
-    older = await store.at(to_version)
+    older = await store.read_version(to_version)
     if isinstance(older, Err):
         return older
     target = older.ok_value.objects
--- a/src/wagtailpoint/cli/profile.py
+++ b/src/wagtailpoint/cli/profile.py
@@ -92,7 +92,7 @@
         for item in reader.objects("entries", expected='{"address", "port"}', default=[])
     ]
     author = reader.text("author") if reader.has("author") else None
-    reader.note("author")
+    reader.mark_known("author")
     reader.finish()
     profile = Profile(tuple(platform), tuple(entries), author)
     return Err(InvalidInput(mistakes)) if mistakes else Ok(profile)
--- a/src/wagtailpoint/config/blocks.py
+++ b/src/wagtailpoint/config/blocks.py
@@ -47,7 +47,7 @@
         """The ``blocks`` objects that make up the list."""
         return self._parts
 
-    def without(self, other: "BlockList") -> "BlockList":
+    def difference(self, other: "BlockList") -> "BlockList":
         """Return the parts that the other list lacks; parts are compared by identity."""
         other_parts = {id(part) for part in other._parts}
         return BlockList(parts=[part for part in self._parts if id(part) not in other_parts])
--- a/src/wagtailpoint/config/manifest.py
+++ b/src/wagtailpoint/config/manifest.py
@@ -89,7 +89,7 @@
     )
 
 
-def hash_of(value: Any) -> str:
+def compute_hash(value: Any) -> str:
     """Return the SHA-256 of a value's canonical JSON (sorted keys, no spaces) in hexadecimal."""
     return hashlib.sha256(msgspec.json.encode(value, order="sorted")).hexdigest()
 
--- a/src/wagtailpoint/config/objects.py
+++ b/src/wagtailpoint/config/objects.py
@@ -160,7 +160,7 @@
     if (server is None) == (domain is None):
         given = "both" if server else "neither"
         reader.mistake(None, given, "exactly one of backend_server and failure_domain")
-    reader.note("backend_server", "failure_domain")
+    reader.mark_known("backend_server", "failure_domain")
     reader.finish()
     return Drain(name, server, domain)
 
@@ -221,7 +221,7 @@
     if route.prefix.startswith(RESERVED_PATHS):
         expected = "a path that instances don't serve themselves, so it may not start with: "
         reader.mistake("prefix", route.prefix, expected + ", ".join(RESERVED_PATHS))
-    reader.note("method")
+    reader.mark_known("method")
     reader.finish()
     return route
 
--- a/src/wagtailpoint/config/reader.py
+++ b/src/wagtailpoint/config/reader.py
@@ -16,7 +16,7 @@
     Manifest,
     Snapshot,
     change_info,
-    hash_of,
+    compute_hash,
 )
 from wagtailpoint.errors import PlatformUnavailable
 from wagtailpoint.ports.platform import ABSENT, Platform, StoredObject
@@ -147,4 +147,6 @@
     if snapshot is None:
         return {}
     hashes = snapshot.content_hashes
-    return {hashes.get(key) or hash_of(value): value for key, value in snapshot.objects.items()}
+    return {
+        hashes.get(key) or compute_hash(value): value for key, value in snapshot.objects.items()
+    }
--- a/src/wagtailpoint/config/store.py
+++ b/src/wagtailpoint/config/store.py
@@ -27,7 +27,7 @@
     changed_keys,
     check_manifest,
     check_objects,
-    hash_of,
+    compute_hash,
 )
 from wagtailpoint.config.reader import ConfigReader, CurrentHead, contents_by_hash, convert_value
 from wagtailpoint.errors import InvalidInput, Mistake, OutcomeUnknown, PlatformUnavailable
@@ -179,7 +179,7 @@
         change = _RequestedChange(
             info=self._create_info(author, message),
             base_version=base_version,
-            puts={key: hash_of(value) for key, value in puts.items()},
+            puts={key: compute_hash(value) for key, value in puts.items()},
             deletes=frozenset(deletes),
         )
         return await self._commit(change, {change.puts[key]: puts[key] for key in puts})
@@ -206,17 +206,17 @@
         )
         return await self._commit(change, {})
 
-    async def history(self, *, most: int) -> Result[list[ChangeInfo], PlatformUnavailable]:
+    async def history(self, *, max_changes: int) -> Result[list[ChangeInfo], PlatformUnavailable]:
         """Return the newest changes, newest first; makes one platform call per change."""
         current = await self._reader.read_current()
         if isinstance(current, Err):
             return current
         manifests = await self._reader.read_manifests_after(
-            current.ok_value, current.ok_value.version - most
+            current.ok_value, current.ok_value.version - max_changes
         )
         return manifests.map(lambda found: [change_info(manifest) for manifest in found])
 
-    async def at(self, version: int) -> Result[Snapshot, PlatformUnavailable]:
+    async def read_version(self, version: int) -> Result[Snapshot, PlatformUnavailable]:
         """Read the configuration as of a version.
 
         Raises:
@@ -302,7 +302,7 @@
         self._check(snapshot.ok_value)
         known = set(current.objects.values())
         writes = [(CONTENT_KIND, name, contents[name]) for name in contents if name not in known]
-        manifest_name = hash_of(manifest)
+        manifest_name = compute_hash(manifest)
         for kind, name, value in [*writes, (MANIFEST_KIND, manifest_name, manifest)]:
             written = await self._put_immutable(kind, name, value)
             if isinstance(written, Err):
--- a/src/wagtailpoint/config/watcher.py
+++ b/src/wagtailpoint/config/watcher.py
@@ -74,7 +74,7 @@
             self._watch_version = None
             self._iteration_scope.cancel()
 
-    def learn(self, snapshot: Snapshot) -> bool:
+    def deliver(self, snapshot: Snapshot) -> bool:
         """Deliver a snapshot, for example from a peer, if it is newer than all previous ones.
 
         Returns:
@@ -103,7 +103,7 @@
         if outcome.ok_value is None:
             return PlatformUnavailable("the platform has no configuration")
         self._backoff_s = MIN_BACKOFF_S
-        self.learn(outcome.ok_value)
+        self.deliver(outcome.ok_value)
         return None
 
     async def _watch_once(self) -> Exception | None:
@@ -143,7 +143,7 @@
             self._watch_version = None
             return outcome.err_value
         if outcome.ok_value is not None:
-            self.learn(outcome.ok_value)
+            self.deliver(outcome.ok_value)
         return None
 
     async def _back_off(self, failure: Exception) -> None:
--- a/src/wagtailpoint/daemon/instance.py
+++ b/src/wagtailpoint/daemon/instance.py
@@ -79,8 +79,8 @@
         hybrid = HybridClock(wall=self._clock.wall)
         name = f"{settings.address}:{settings.port}"
         self._metrics = Metrics()
-        self._timeline = Timeline(clock=hybrid, instance=name, most_events=TIMELINE_EVENTS)
-        self._requests = Timeline(clock=hybrid, instance=name, most_events=REQUEST_EVENTS)
+        self._timeline = Timeline(clock=hybrid, instance=name, max_events=TIMELINE_EVENTS)
+        self._requests = Timeline(clock=hybrid, instance=name, max_events=REQUEST_EVENTS)
         self._platform = HttpPlatform(
             addresses=[(each.address, each.port) for each in settings.platform],
             timeout_s=timings.platform_timeout_s,
@@ -219,7 +219,7 @@
 
     def _snapshot_from_peer(self, snapshot: Snapshot) -> None:
         self._config.offer(snapshot, source="peer")
-        self._watcher.learn(snapshot)
+        self._watcher.deliver(snapshot)
 
     def _apply(self, config: EffectiveConfig) -> None:
         self._lookups.apply(config)
--- a/src/wagtailpoint/daemon/pages.py
+++ b/src/wagtailpoint/daemon/pages.py
@@ -20,7 +20,7 @@
 from wagtailpoint.idempotency.keys import KeyStore
 from wagtailpoint.membership import Member, Membership
 from wagtailpoint.moves.board import MoveBoard, MoveStatus
-from wagtailpoint.observe.hlc import ZERO, parse_stamp
+from wagtailpoint.observe.hlc import ZERO_STAMP, parse_stamp
 from wagtailpoint.observe.metrics import Metrics
 from wagtailpoint.observe.prometheus import CONTENT_TYPE
 from wagtailpoint.observe.timeline import Timeline, TimelineEvent, merge_timelines
@@ -122,7 +122,7 @@
     async def timeline(self, query: Query) -> Page:
         """The newest events of this instance."""
         try:
-            since = parse_stamp(query["since"]) if "since" in query else ZERO
+            since = parse_stamp(query["since"]) if "since" in query else ZERO_STAMP
         except ValueError as error:
             return bad_query(f"since: {error}")
         events = merge_timelines(timeline.since(since) for timeline in self._timelines)
--- a/src/wagtailpoint/daemon/steering.py
+++ b/src/wagtailpoint/daemon/steering.py
@@ -301,7 +301,7 @@
             )
 
         settings = self._settings
-        most = int(CALLERS_PART * (settings.most_descriptors - RESERVED_DESCRIPTORS))
+        most = int(CALLERS_PART * (settings.max_descriptors - RESERVED_DESCRIPTORS))
         return [
             server(settings.callers, self._dispatcher.handle, most),
             server(settings.lookups, self._pages.handle, PAGE_CONNECTIONS),
@@ -315,7 +315,7 @@
 
     def _retry_bound(self) -> RetryBound:
         bounds = self._settings_file.bounds
-        return RetryBound(bounds.repeat_ratio, bounds.repeat_slack)
+        return RetryBound(bounds.retry_ratio, bounds.retry_slack)
 
     def _bounds(self) -> CallerBounds:
         table = self._state.table
--- a/src/wagtailpoint/lookup/blocks.py
+++ b/src/wagtailpoint/lookup/blocks.py
@@ -163,5 +163,5 @@
 ) -> tuple[Sequence[ClientBlock], Sequence[ClientBlock]]:
     """Return the blocks of both lists, without common parts if both are ``BlockList``s."""
     if isinstance(old, BlockList) and isinstance(new, BlockList):
-        return old.without(new), new.without(old)
+        return old.difference(new), new.difference(old)
     return old, new
--- a/src/wagtailpoint/membership/config_delta.py
+++ b/src/wagtailpoint/membership/config_delta.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from wagtailpoint.config.manifest import ChangeInfo, Snapshot, changed_keys, hash_of
+from wagtailpoint.config.manifest import ChangeInfo, Snapshot, changed_keys, compute_hash
 from wagtailpoint.config.packed import pack
 
 MAX_HISTORY_STEPS = 256
@@ -46,7 +46,7 @@
 def add_content_hashes(snapshot: Snapshot) -> Snapshot:
     """Return a snapshot with the missing hashes of its objects filled in."""
     known = snapshot.content_hashes
-    hashes = {key: known.get(key) or hash_of(value) for key, value in snapshot.objects.items()}
+    hashes = {key: known.get(key) or compute_hash(value) for key, value in snapshot.objects.items()}
     return snapshot._replace(content_hashes=hashes)
 
 
@@ -84,7 +84,7 @@
         hashes.pop(key, None)
     for key, raw in delta.puts.items():
         objects[key] = pack(msgspec.json.decode(raw))
-        hashes[key] = hash_of(objects[key])
+        hashes[key] = compute_hash(objects[key])
     if compute_digest(hashes) != digest:
         raise BrokenDelta(
             f"configuration version {change.version} has a wrong digest after applying its delta"
--- a/src/wagtailpoint/node_settings.py
+++ b/src/wagtailpoint/node_settings.py
@@ -34,9 +34,9 @@
 
     Attributes:
         grace_s: Seconds from SIGTERM until the process is killed.
-        repeat_ratio: Retries allowed per request of a service within a window.
-        repeat_window_s: The length of that window, in seconds.
-        repeat_slack: Retries allowed in a window in addition to the ratio.
+        retry_ratio: Retries allowed per request of a service within a window.
+        retry_window_s: The length of that window, in seconds.
+        retry_slack: Retries allowed in a window in addition to the ratio.
         cold_overage: Maximum rate of a cold backend server, as a multiple of its own rate.
         cold_slack: Requests per second allowed in addition to ``cold_overage``.
         region_shift_max: Maximum fraction of a region's requests, 0 to 1, whose serving region may
@@ -48,9 +48,9 @@
     """
 
     grace_s: float
-    repeat_ratio: float
-    repeat_window_s: float
-    repeat_slack: float
+    retry_ratio: float
+    retry_window_s: float
+    retry_slack: float
     cold_overage: float
     cold_slack: float
     region_shift_max: float
@@ -74,7 +74,7 @@
         metrics: The endpoint for metrics and status.
         seeds: Peers known at the start; the list may be outdated.
         store: The endpoint of the platform's object store.
-        most_descriptors: Maximum number of open file descriptors.
+        max_descriptors: Maximum number of open file descriptors.
         capacity: Its capacity relative to other instances, in processor cores.
         bounds: Bounds that all instances have to meet.
     """
@@ -90,6 +90,6 @@
     metrics: Endpoint
     seeds: tuple[Endpoint, ...]
     store: Endpoint
-    most_descriptors: int
+    max_descriptors: int
     capacity: float
     bounds: ServiceBounds
--- a/src/wagtailpoint/observe/hlc.py
+++ b/src/wagtailpoint/observe/hlc.py
@@ -23,7 +23,7 @@
         return f"{self.wall_ms:013d}.{self.tick:06d}"
 
 
-ZERO = Stamp(0, 0)
+ZERO_STAMP = Stamp(0, 0)
 
 
 def parse_stamp(text: str) -> Stamp:
@@ -47,7 +47,7 @@
 
     def __init__(self, *, wall: Callable[[], float]) -> None:
         self._wall = wall
-        self._last = ZERO
+        self._last = ZERO_STAMP
 
     def now(self) -> Stamp:
         """Return a stamp later than all stamps returned or merged before."""
--- a/src/wagtailpoint/observe/metrics.py
+++ b/src/wagtailpoint/observe/metrics.py
@@ -12,7 +12,7 @@
 COUNTER_BYTES = 4
 PERCENTILES = [50.0, 90.0, 99.0, 99.9]
 
-MOST_HISTOGRAMS = 400
+MAX_HISTOGRAMS = 400
 """A histogram takes about 14 KB. Beyond this number, new keys are aggregated under ``OTHER``, so
 that metrics don't fill the memory of an instance with thousands of workspaces."""
 
@@ -103,6 +103,6 @@
             yield key, latencies.summary()
 
     def _create_latencies(self, key: LatencyKey) -> _Latencies:
-        if len(self._latencies) >= MOST_HISTOGRAMS:
+        if len(self._latencies) >= MAX_HISTOGRAMS:
             key = LatencyKey(key.measure, *[OTHER if part else "" for part in key[1:]])
         return self._latencies.setdefault(key, _Latencies())
--- a/src/wagtailpoint/observe/timeline.py
+++ b/src/wagtailpoint/observe/timeline.py
@@ -35,13 +35,13 @@
     Args:
         clock: The clock that stamps the events.
         instance: The address of this instance.
-        most_events: Maximum number of events kept; the oldest are discarded first.
+        max_events: Maximum number of events kept; the oldest are discarded first.
     """
 
-    def __init__(self, *, clock: HybridClock, instance: str, most_events: int) -> None:
+    def __init__(self, *, clock: HybridClock, instance: str, max_events: int) -> None:
         self._clock = clock
         self._instance = instance
-        self._events: deque[TimelineEvent] = deque(maxlen=most_events)
+        self._events: deque[TimelineEvent] = deque(maxlen=max_events)
 
     def record(self, event: str, **fields: FieldValue) -> None:
         """Record an event at the current time."""
--- a/src/wagtailpoint/ports/peers.py
+++ b/src/wagtailpoint/ports/peers.py
@@ -16,7 +16,7 @@
 ANY_INCARNATION = 0
 """Addresses any process that listens at an address; used while its incarnation is unknown."""
 
-MOST_MESSAGE_BYTES = 1 << 20
+MAX_MESSAGE_BYTES = 1 << 20
 
 _type_by_kind: dict[str, type[Message]] = {}
 _kind_by_type: dict[type[Message], str] = {}
@@ -42,12 +42,12 @@
     return message_type
 
 
-def kind_of(message_type: type[Message]) -> str:
+def get_message_kind(message_type: type[Message]) -> str:
     """Return the kind of a message type; raises KeyError if it isn't registered."""
     return _kind_by_type[message_type]
 
 
-def type_of(kind: str) -> type[Message] | None:
+def get_message_type(kind: str) -> type[Message] | None:
     """Return the message type of a kind; None if this version doesn't know the kind."""
     return _type_by_kind.get(kind)
 
--- a/tests/common/small_config.py
+++ b/tests/common/small_config.py
@@ -95,5 +95,5 @@
 def idle_board(clock: Clock, *, cap_fraction: float = 1.0) -> MoveBoard:
     """A board of moves without any."""
     hybrid = HybridClock(wall=clock.wall)
-    timeline = Timeline(clock=hybrid, instance="test", most_events=100)
+    timeline = Timeline(clock=hybrid, instance="test", max_events=100)
     return MoveBoard(clock=clock, timeline=timeline, cap_fraction=lambda: cap_fraction)
--- a/tests/cover/test_config_state.py
+++ b/tests/cover/test_config_state.py
@@ -39,7 +39,7 @@
         story: Callable[[ConfigState], Awaitable[None]],
         prepare: Callable[[EffectiveConfig], Any] = lambda _: None,
     ) -> None:
-        timeline = Timeline(clock=HybridClock(wall=FakeClock().wall), instance="i", most_events=9)
+        timeline = Timeline(clock=HybridClock(wall=FakeClock().wall), instance="i", max_events=9)
         state = ConfigState(timeline=timeline, prepare=prepare)
         state.follow(lambda config: self.in_force.append(config.version))
 
--- a/tests/cover/test_config_store.py
+++ b/tests/cover/test_config_store.py
@@ -83,7 +83,7 @@
                     )
             self.assertEqual(self.platform.counts.total(), 0)
             with self.assertRaisesRegex(InvalidInput, "one from 1 to 0"):
-                await self.store.at(1)
+                await self.store.read_version(1)
 
         run(test)
 
@@ -164,7 +164,7 @@
             self.race("service/b", "bob", "bob's")
             applied = (await self.put("service/a", "ann's", base=1)).unwrap()
             self.assertEqual(applied.objects, {"service/a": "ann's", "service/b": "bob's"})
-            history = (await self.store.history(most=2)).unwrap()
+            history = (await self.store.history(max_changes=2)).unwrap()
             self.assertEqual([(3, "ann"), (2, "bob")], [(c.version, c.author) for c in history])
 
         run(test)
@@ -211,7 +211,7 @@
             self.lose("lose_answers", kind=HEAD_KIND, count=1)
             applied = (await self.put("service/a", 2, base=1)).unwrap()
             self.assertEqual(applied.change.version, 2)
-            self.assertEqual(len((await self.store.history(most=9)).unwrap()), 2)
+            self.assertEqual(len((await self.store.history(max_changes=9)).unwrap()), 2)
             self.assertEqual(self.platform.counts["PUT", HEAD_KIND], 2)
 
         run(test)
@@ -298,7 +298,7 @@
             self.assertEqual(await self.read(), reverted.unwrap())
             self.assertEqual(reverted.unwrap().change.version, 4)
             self.assertEqual(reverted.unwrap().objects, {"service/a": 1})
-            self.assertEqual((await self.store.at(3)).unwrap().objects["service/b"], 3)
+            self.assertEqual((await self.store.read_version(3)).unwrap().objects["service/b"], 3)
 
         run(test)
 
--- a/tests/cover/test_config_watcher.py
+++ b/tests/cover/test_config_watcher.py
@@ -199,8 +199,8 @@
                 puts={"service/a": 2}, deletes=[], base_version=1, author="bob", message=""
             )
             self.platform.scripted_watches.append(Err(WatchTooOld()))
-            self.assertTrue(watcher.learn(newer.unwrap()))
-            self.assertFalse(watcher.learn(newer.unwrap()))
+            self.assertTrue(watcher.deliver(newer.unwrap()))
+            self.assertFalse(watcher.deliver(newer.unwrap()))
             await trio.sleep(600)
             self.assertEqual(self.versions, [1, 2])
 
--- a/tests/cover/test_hlc.py
+++ b/tests/cover/test_hlc.py
@@ -42,7 +42,7 @@
         wall = FakeClock()
         clocks = [HybridClock(wall=wall.wall) for _ in range(2)]
         timelines = [
-            Timeline(clock=clock, instance=f"127.0.0.{number}", most_events=2)
+            Timeline(clock=clock, instance=f"127.0.0.{number}", max_events=2)
             for number, clock in enumerate(clocks, start=1)
         ]
         for event in ("first", "second", "third"):
--- a/tests/cover/test_observing.py
+++ b/tests/cover/test_observing.py
@@ -14,9 +14,9 @@
 from wagtailpoint.daemon.observing import RequestObserver
 from wagtailpoint.entry.observer import CompletedRequest
 from wagtailpoint.entry.request import CallerRequest
-from wagtailpoint.observe.hlc import ZERO, HybridClock
+from wagtailpoint.observe.hlc import ZERO_STAMP, HybridClock
 from wagtailpoint.observe.log import configure_log, log_event
-from wagtailpoint.observe.metrics import MOST_HISTOGRAMS, OTHER, LatencyKey, Metrics
+from wagtailpoint.observe.metrics import MAX_HISTOGRAMS, OTHER, LatencyKey, Metrics
 from wagtailpoint.observe.timeline import Timeline
 from wagtailpoint.ports.backend import BackendAddress, BackendFailure
 from wagtailpoint.ports.peers import PeerCounts, Traffic
@@ -28,9 +28,9 @@
 class MetricsTest(unittest.TestCase):
     def test_histograms_are_bounded(self) -> None:
         metrics = Metrics()
-        for number in range(MOST_HISTOGRAMS + 50):
+        for number in range(MAX_HISTOGRAMS + 50):
             metrics.record_latency(LatencyKey("request", f"w{number}"), 0.01)
-        self.assertLessEqual(len(list(metrics.latencies())), MOST_HISTOGRAMS + 1)
+        self.assertLessEqual(len(list(metrics.latencies())), MAX_HISTOGRAMS + 1)
         other = dict(metrics.latencies())[LatencyKey("request", OTHER)]
         self.assertEqual(other["count"], 50)
 
@@ -63,14 +63,14 @@
         clock = FakeClock()
         self.metrics = Metrics()
         hybrid = HybridClock(wall=clock.wall)
-        self.timeline = Timeline(clock=hybrid, instance="e", most_events=10)
+        self.timeline = Timeline(clock=hybrid, instance="e", max_events=10)
         self.observer = RequestObserver(metrics=self.metrics, timeline=self.timeline, clock=clock)
 
     def request(self, *more: tuple[bytes, bytes]) -> CallerRequest:
         return CallerRequest("GET", "/p", "/p", [*HEADERS, *more], None, None, 0.0)
 
     def events(self) -> list[tuple[str, object]]:
-        return [(each.event, each.fields["request_id"]) for each in self.timeline.since(ZERO)]
+        return [(each.event, each.fields["request_id"]) for each in self.timeline.since(ZERO_STAMP)]
 
     def test_plain_answers_are_counted_without_an_event(self) -> None:
         self.observer.on_completed(self.request(), CompletedRequest(None, 200, Verdict.RAN, "ok"))
--- a/tests/cover/test_packed.py
+++ b/tests/cover/test_packed.py
@@ -3,7 +3,7 @@
 import unittest
 
 from wagtailpoint.config.blocks import BlockReader
-from wagtailpoint.config.manifest import hash_of
+from wagtailpoint.config.manifest import compute_hash
 from wagtailpoint.config.packed import PackedTexts, pack, unpack
 
 NETWORKS = [f"10.{number}.0.0/16" for number in range(200)]
@@ -13,7 +13,7 @@
 class PackedTest(unittest.TestCase):
     def test_packing_keeps_the_hash(self) -> None:
         self.assertIsNot(pack(VALUE)["networks"], NETWORKS)
-        self.assertEqual(hash_of(pack(VALUE)), hash_of(VALUE))
+        self.assertEqual(compute_hash(pack(VALUE)), compute_hash(VALUE))
         self.assertEqual(unpack(pack(VALUE)), VALUE)
 
     def test_values_without_long_lists_of_strings_are_unchanged(self) -> None:
--- a/tests/cover/test_peers.py
+++ b/tests/cover/test_peers.py
@@ -15,7 +15,7 @@
 from wagtailpoint.observe.hlc import HybridClock
 from wagtailpoint.ports.clock import Clock
 from wagtailpoint.ports.peers import (
-    MOST_MESSAGE_BYTES,
+    MAX_MESSAGE_BYTES,
     PeerAddress,
     PeerFailure,
     Peers,
@@ -125,7 +125,7 @@
 
     def test_oversized_message_is_refused_here(self) -> None:
         async def story(network: FakeNetwork, one: Peers, other: Peers) -> None:
-            self.assertFalse(one.send(other.address, Question("x" * MOST_MESSAGE_BYTES)))
+            self.assertFalse(one.send(other.address, Question("x" * MAX_MESSAGE_BYTES)))
             self.assertEqual(one.counts.dropped, {"too-large": 1})
 
         self.run_pair(story)
--- a/tests/cover/test_platform_documents.py
+++ b/tests/cover/test_platform_documents.py
@@ -184,7 +184,7 @@
         self.assertEqual((settings.name, settings.region), ("entry-1", "a"))
         self.assertEqual(settings.store, Endpoint("10.0.0.1", 8142))
         self.assertEqual(settings.seeds, (Endpoint("10.1.0.1", 8146),))
-        self.assertEqual(settings.bounds.repeat_slack, 58)
+        self.assertEqual(settings.bounds.retry_slack, 58)
 
     def test_keys_count_on_cut_instances_only_where_that_is_not_strict(self) -> None:
         def lag_s(**bounds: Any) -> float:
--- a/tests/cover/test_settings_file.py
+++ b/tests/cover/test_settings_file.py
@@ -45,7 +45,7 @@
         """
         self.write(BudgetSlack=10, ColdOverage=1.1)
         self.file.look(told=False)
-        self.assertEqual(self.file.bounds.repeat_slack, 10)
+        self.assertEqual(self.file.bounds.retry_slack, 10)
         self.assertEqual(self.file.bounds.cold_overage, 1.1)
         self.assertIn("reload", self.lines[0])
         self.assertIn("'changed': 'bounds', 'from_next_start': ''", self.lines[0])
@@ -60,12 +60,12 @@
         self.path.write_text("{")
         for _ in range(3):
             self.file.look(told=False)
-        self.assertEqual(self.file.bounds.repeat_slack, 58)
+        self.assertEqual(self.file.bounds.retry_slack, 58)
         self.assertEqual(len(self.lines), 1)
         self.assertIn("reload-refused", self.lines[0])
         self.write(BudgetSlack=20)
         self.file.look(told=False)
-        self.assertEqual(self.file.bounds.repeat_slack, 20)
+        self.assertEqual(self.file.bounds.retry_slack, 20)
 
     def test_unchanged_file_is_logged_only_after_a_signal(self) -> None:
         self.file.look(told=False)
--- a/tests/integration/test_config_platform.py
+++ b/tests/integration/test_config_platform.py
@@ -72,7 +72,7 @@
             applied = await put(store, ["service/a"], base=1)
             self.assertEqual(applied.change.version, 2)
             self.assertEqual((await store.read()).unwrap(), applied)
-            self.assertEqual(len((await store.history(most=9)).unwrap()), 2)
+            self.assertEqual(len((await store.history(max_changes=9)).unwrap()), 2)
 
         self.run_with(test)
 
--- a/tests/nocover/test_config_races.py
+++ b/tests/nocover/test_config_races.py
@@ -129,9 +129,9 @@
 
     async def read_history(self) -> None:
         store = self.new_store()
-        changes = (await store.history(most=1000)).unwrap()
+        changes = (await store.history(max_changes=1000)).unwrap()
         for change in reversed(changes):
-            self.history.append((await store.at(change.version)).unwrap())
+            self.history.append((await store.read_version(change.version)).unwrap())
 
     def find_commits(self, attempt: Attempt) -> list[ChangeInfo]:
         author, number = attempt.value
