--- a/bench/admission_driver.py
+++ b/bench/admission_driver.py
@@ -24,12 +24,12 @@
 from wagtailpoint.ports.backend import BackendAddress
 
 SERVERS: Final = 8
-SLOTS: Final = 3
-ALL_SLOTS: Final = SERVERS * SLOTS
-MEAN_S: Final = 0.020
-CAPACITY_RPS: Final = ALL_SLOTS / MEAN_S
-MOST_QUEUED: Final = 500
-REPEAT_AFTER_S: Final = 0.005
+SLOTS_PER_SERVER: Final = 3
+TOTAL_SLOTS: Final = SERVERS * SLOTS_PER_SERVER
+MEAN_HOLD_S: Final = 0.020
+CAPACITY_RPS: Final = TOTAL_SLOTS / MEAN_HOLD_S
+MAX_QUEUED: Final = 500
+RETRY_DELAY_S: Final = 0.005
 
 TONIGHT = ClassPolicy("tonight", 0, 1.0)
 BROWSE = ClassPolicy("browse", 1, 0.75)
@@ -53,11 +53,11 @@
 
     policy: ClassPolicy
     rps: Callable[[float], float]
-    hold_s: float = MEAN_S
+    hold_s: float = MEAN_HOLD_S
     timeout_s: float = 0.5
     workspaces: Sequence[str] = ("own",)
     long: bool = False
-    repeats: int = 0
+    retries: int = 0
 
 
 class Admission(Protocol):
@@ -77,7 +77,8 @@
 
     def __init__(self) -> None:
         self._servers = [
-            BackendServer(BackendAddress("127.0.0.1", port), "", SLOTS) for port in range(SERVERS)
+            BackendServer(BackendAddress("127.0.0.1", port), "", SLOTS_PER_SERVER)
+            for port in range(SERVERS)
         ]
 
     def candidates(self) -> Sequence[BackendServer]:
@@ -100,7 +101,7 @@
 
     def __init__(self, *, by_class: bool) -> None:
         self._by_class = by_class
-        self._free = ALL_SLOTS
+        self._free = TOTAL_SLOTS
         self._numbers = itertools.count()
         self._queue: list[tuple[int, int, trio.Event]] = []
         self._gone: set[int] = set()
@@ -111,7 +112,7 @@
         if self._free:
             self._free -= 1
             return Ok(slot)
-        if len(self._queue) - len(self._gone) >= MOST_QUEUED:
+        if len(self._queue) - len(self._gone) >= MAX_QUEUED:
             return Err(refuse_slot(demand.pool, demand.policy.name, "full", 1.0))
         ready, number = trio.Event(), next(self._numbers)
         rank = demand.policy.priority if self._by_class else 0
@@ -135,17 +136,17 @@
             self._gone.remove(number)
 
 
-PLAIN_AND_OURS: Final = ("fcfs", "ours")
+ONE_CLASS_RULES: Final = ("fcfs", "ours")
 """With one class our first version is first come, first served, too."""
 
 RULES: Final[dict[str, Callable[[], Admission]]] = {
     "fcfs": lambda: PlainQueue(by_class=False),
     "first": lambda: PlainQueue(by_class=True),
-    "ours": lambda: SlotPool(clock=TrioClock(), max_queued=MOST_QUEUED, random=Random(3)),
+    "ours": lambda: SlotPool(clock=TrioClock(), max_queued=MAX_QUEUED, random=Random(3)),
 }
 
 
-class Measured:
+class Measurements:
     """What was measured of one class or workspace.
 
     Attributes:
@@ -166,7 +167,7 @@
         """Answers in time."""
         return int(self.latency.get_total_count())
 
-    def at_ms(self, percentile: float) -> float:
+    def percentile_ms(self, percentile: float) -> float:
         """A percentile of the latency of answers, in milliseconds."""
         return float(self.latency.get_value_at_percentile(percentile)) / 1000
 
@@ -174,7 +175,7 @@
 class Run:
     """One rule under some streams."""
 
-    def __init__(self, *, rule: str, streams: Sequence[Stream], until_s: float, seed: int = 5):
+    def __init__(self, *, rule: str, streams: Sequence[Stream], duration_s: float, seed: int = 5):
         """Run it, in virtual time.
 
         Args:
@@ -183,35 +184,35 @@
             until_s: For so long; then what is there is finished.
             seed: Of arrivals and service times.
         """
-        self.by_class: dict[str, Measured] = {each.name: Measured() for each in CLASSES}
-        self.by_workspace = {name: Measured() for each in streams for name in each.workspaces}
-        self.most_held: Counter[str] = Counter()
-        self.until_s = until_s
+        self.by_class: dict[str, Measurements] = {each.name: Measurements() for each in CLASSES}
+        self.by_workspace = {name: Measurements() for each in streams for name in each.workspaces}
+        self.max_held: Counter[str] = Counter()
+        self.duration_s = duration_s
         self._random = Random(seed)
         self._servers = AllServers()
         self._held: Counter[str] = Counter()
         self._rule = rule
-        self._ends = 0.0
+        self._end_at = 0.0
         trio.run(self._run, streams, clock=MockClock(autojump_threshold=0.0))
 
     @property
-    def used(self) -> float:
+    def goodput_fraction(self) -> float:
         """The part of all slot time that led to answers in time, until the last arrival."""
         useful = sum(measured.held_s for measured in self.by_class.values())
-        return useful / (ALL_SLOTS * self.until_s)
+        return useful / (TOTAL_SLOTS * self.duration_s)
 
     async def _run(self, streams: Sequence[Stream]) -> None:
         self._admission = RULES[self._rule]()
-        self._ends = trio.current_time() + self.until_s
+        self._end_at = trio.current_time() + self.duration_s
         async with trio.open_nursery() as nursery:
             for stream in streams:
                 nursery.start_soon(self._arrivals, stream, Random(self._random.random()))
 
     async def _arrivals(self, stream: Stream, random: Random) -> None:
-        began = trio.current_time()
+        started_at = trio.current_time()
         order = list(stream.workspaces)
         async with trio.open_nursery() as nursery:
-            while (now_s := trio.current_time() - began) < self.until_s:
+            while (now_s := trio.current_time() - started_at) < self.duration_s:
                 hold_s = random.expovariate(1 / stream.hold_s)
                 for workspace in order:
                     nursery.start_soon(self._request, stream, workspace, hold_s)
@@ -220,41 +221,41 @@
                 await trio.sleep(random.expovariate(stream.rps(now_s)) * len(order))
 
     async def _request(self, stream: Stream, workspace: str, hold_s: float) -> None:
-        found = (
+        results = (
             self.by_class[stream.policy.name],
             self.by_workspace[workspace],
         )
-        for repeat in range(1 + stream.repeats):
-            if repeat:
-                await trio.sleep(REPEAT_AFTER_S)
-            if await self._attempt(stream, workspace, hold_s, found):
+        for attempt in range(1 + stream.retries):
+            if attempt:
+                await trio.sleep(RETRY_DELAY_S)
+            if await self._attempt(stream, workspace, hold_s, results):
                 return
-        for measured in found:
+        for measured in results:
             measured.refused += 1
 
     async def _attempt(
-        self, stream: Stream, workspace: str, hold_s: float, found: Sequence[Measured]
+        self, stream: Stream, workspace: str, hold_s: float, results: Sequence[Measurements]
     ) -> bool:
         """Send it once; True if it got a slot."""
-        began = trio.current_time()
-        deadline = began + stream.timeout_s
+        started_at = trio.current_time()
+        deadline = started_at + stream.timeout_s
         demand = SlotDemand("desk", self._servers, stream.policy, deadline)
         admitted = await self._admission.acquire(
             demand._replace(workspace=workspace, classes=CLASSES, long=stream.long)
         )
         if isinstance(admitted, Err):
-            late = trio.current_time() - began > stream.timeout_s / 2
-            for measured in found:
+            late = trio.current_time() - started_at > stream.timeout_s / 2
+            for measured in results:
                 measured.late_refusals += late
             return False
-        left_s = deadline - trio.current_time()
-        in_time = stream.long or hold_s <= left_s
-        await self._hold(stream, hold_s if in_time else left_s)
+        remaining_s = deadline - trio.current_time()
+        in_time = stream.long or hold_s <= remaining_s
+        await self._hold(stream, hold_s if in_time else remaining_s)
         self._admission.release(admitted.ok_value)
-        latency_us = max(1, int(1e6 * (trio.current_time() - began)))
+        latency_us = max(1, int(1e6 * (trio.current_time() - started_at)))
         taken_at = trio.current_time() - hold_s
-        useful_s = max(0.0, min(self._ends, trio.current_time()) - taken_at)
-        for measured in found:
+        useful_s = max(0.0, min(self._end_at, trio.current_time()) - taken_at)
+        for measured in results:
             if in_time:
                 measured.latency.record_value(latency_us)
                 measured.held_s += useful_s
@@ -264,6 +265,6 @@
     async def _hold(self, stream: Stream, hold_s: float) -> None:
         name = stream.policy.name
         self._held[name] += 1
-        self.most_held[name] = max(self.most_held[name], self._held[name])
+        self.max_held[name] = max(self.max_held[name], self._held[name])
         await trio.sleep(hold_s)
         self._held[name] -= 1
--- a/bench/backend_connections.py
+++ b/bench/backend_connections.py
@@ -24,10 +24,10 @@
 
 PORT = 9100
 PROXY_PORT = 9001
-MOST_COST = 1.5
+MAX_COST_RATIO = 1.5
 """Our processor time for an exchange against that of httpcore's own pool, at most."""
 
-LEAST_SAVED = 2.0
+MIN_REDUCTION_FACTOR = 2.0
 """So many times fewer releases end in `may-have-run` by the learned limit, at least."""
 
 _FIGURES: dict[str, dict[str, float]] = {}
@@ -44,7 +44,7 @@
     return _run_costs(300 if short else 3000) + _run_race(80 if short else 800)
 
 
-def request_of(number: int, *, idempotent: bool) -> BackendRequest:
+def build_request(number: int, *, idempotent: bool) -> BackendRequest:
     return BackendRequest(
         request_id=f"r{number}",
         method="GET" if idempotent else "POST",
@@ -69,7 +69,9 @@
         lines.append(f"{name:36}  {processor_ms:12.3f}  {median_ms:9.3f}")
         _FIGURES.setdefault("exchange, processor ms", {})[name] = processor_ms
     ours, plain = costs["ours, connection used again"], costs["httpcore's pool"]
-    assert ours[0] <= MOST_COST * plain[0], f"an exchange costs {ours[0] / plain[0]:.2f} x httpcore"
+    assert (
+        ours[0] <= MAX_COST_RATIO * plain[0]
+    ), f"an exchange costs {ours[0] / plain[0]:.2f} x httpcore"
     return lines
 
 
@@ -77,7 +79,7 @@
     backends, fresh = HttpBackends(), HttpBackends(kept_connections=0)
 
     async def exchange(backends: HttpBackends, number: int) -> None:
-        request = request_of(number, idempotent=True)
+        request = build_request(number, idempotent=True)
         async with backends.exchange(server, request) as answered:
             async for _ in answered.unwrap().body:
                 pass
@@ -111,14 +113,16 @@
 
 def _run_race(count: int) -> list[str]:
     lines = [f"{'releases, server closes after 0.1 s':36}  may-have-run  connections opened"]
-    spoilt = {}
+    may_have_run = {}
     baseline = f"used again within {SAFE_IDLE_S:g} s"
     for name, safe_idle_s in ((baseline, SAFE_IDLE_S), ("learned limit", None)):
-        spoilt[name], opened = trio.run(_measure_race, count, safe_idle_s)
-        lines.append(f"{name:36}  {spoilt[name]:6}/{count:<5}  {opened:18}")
-        _FIGURES.setdefault("releases spoilt", {})[name] = spoilt[name]
-    learned, fixed = spoilt["learned limit"], spoilt[baseline]
-    assert learned * LEAST_SAVED <= fixed, f"{learned} releases spoilt, {fixed} without learning"
+        may_have_run[name], opened = trio.run(_measure_race, count, safe_idle_s)
+        lines.append(f"{name:36}  {may_have_run[name]:6}/{count:<5}  {opened:18}")
+        _FIGURES.setdefault("releases spoilt", {})[name] = may_have_run[name]
+    learned, fixed = may_have_run["learned limit"], may_have_run[baseline]
+    assert (
+        learned * MIN_REDUCTION_FACTOR <= fixed
+    ), f"{learned} releases spoilt, {fixed} without learning"
     return lines
 
 
@@ -129,22 +133,22 @@
         count: How many releases.
         safe_idle_s: The limit, in seconds; None to have it learned.
     """
-    host, users = loopback_address(), 4
+    host, sender_count = loopback_address(), 4
     worker, backends = Worker(service_ms=1.0, slots=50), HttpBackends()
     worker.mode = Mode(idle_close_s=0.1)
     proxy = FaultProxy(listen=Address(host, PROXY_PORT), target=Address(host, PORT))
-    server, choose, spoilt = BackendAddress(host, PROXY_PORT), random.Random(3), 0
+    server, rng, may_have_run = BackendAddress(host, PROXY_PORT), random.Random(3), 0
 
-    async def use(user: int) -> None:
-        nonlocal spoilt
-        for number in range(count // users):
-            await trio.sleep(choose.expovariate(1 / 0.1))
+    async def send_releases(sender: int) -> None:
+        nonlocal may_have_run
+        for number in range(count // sender_count):
+            await trio.sleep(rng.expovariate(1 / 0.1))
             if safe_idle_s is not None:
                 backends._pool(server)._safe_idle_s = safe_idle_s
-            request = request_of(user * count + number, idempotent=False)
+            request = build_request(sender * count + number, idempotent=False)
             async with backends.exchange(server, request) as answered:
                 if isinstance(answered, Err):
-                    spoilt += 1
+                    may_have_run += 1
                 else:
                     _ = [chunk async for chunk in answered.ok_value.body]
 
@@ -152,8 +156,8 @@
         await nursery.start(partial(serve_worker, worker, host, PORT))
         await nursery.start(proxy.serve)
         await proxy.delay(0.02)
-        async with trio.open_nursery() as users_nursery:
-            for user in range(users):
-                users_nursery.start_soon(use, user)
+        async with trio.open_nursery() as senders_nursery:
+            for sender in range(sender_count):
+                senders_nursery.start_soon(send_releases, sender)
         nursery.cancel_scope.cancel()
-    return spoilt, backends.counts(server).opened
+    return may_have_run, backends.counts(server).opened
--- a/bench/capacity_group.py
+++ b/bench/capacity_group.py
@@ -13,14 +13,14 @@
 from wagtailpoint.config.manifest import ChangeInfo, Snapshot
 
 IDLE_S = 8.0
-CUT_S = 30.0
+PARTITION_S = 30.0
 REPORTS_S = 4.0
 """As many epochs begin at 490 instances, one each in 120 s."""
 HEADER_BYTES = 8 + 52 + 52
 """Length and IP and TCP headers of a small message, and of the acknowledgement it may get."""
 
 
-class Sent(NamedTuple):
+class SentTotals(NamedTuple):
     """What a whole group sent so far, and the processor time of this process."""
 
     messages: int
@@ -28,7 +28,7 @@
     processor_s: float
 
 
-class Group(NamedTuple):
+class GroupCost(NamedTuple):
     """One instance of a group, on average."""
 
     instances: int
@@ -38,8 +38,8 @@
     change_messages: float
     change_bytes: float
     change_processor_ms: float
-    change_has_s: float
-    change_told_s: float
+    change_received_s: float
+    change_known_s: float
 
 
 def _snapshot(version: int) -> Snapshot:
@@ -50,7 +50,7 @@
     return Snapshot(ChangeInfo(version, f"c{version}", "bench", 0.0, ""), objects)
 
 
-def _all_know(group: MemberGroup, version: int) -> bool:
+def _is_known_by_all(group: MemberGroup, version: int) -> bool:
     return all(
         member.config_version == version
         for instance in group.instances.values()
@@ -58,45 +58,45 @@
     )
 
 
-def _sent(group: MemberGroup) -> Sent:
+def _read_totals(group: MemberGroup) -> SentTotals:
     sent = [kind for each in group.instances.values() for kind in each.peers.counts.sent.values()]
-    return Sent(
+    return SentTotals(
         sum(traffic.messages for traffic in sent),
         sum(traffic.bytes for traffic in sent),
         time.process_time(),
     )
 
 
-def measure_group(count: int) -> Group:
+def measure_group(count: int) -> GroupCost:
     """Run a group in memory: join, idle, one change."""
-    found: list[Group] = []
+    costs: list[GroupCost] = []
 
-    async def story(group: MemberGroup) -> None:
+    async def scenario(group: MemberGroup) -> None:
         for number in range(1, count + 1):
             group.start(f"127.0.{number // 250}.{number % 250 + 1}")
         await group.wait_until(lambda: group.all_see_all("live"), within_s=120)
         first = next(iter(group.instances.values()))
         first.offer(_snapshot(1))
-        await group.wait_until(lambda: _all_know(group, 1), within_s=120)
+        await group.wait_until(lambda: _is_known_by_all(group, 1), within_s=120)
         await trio.sleep(5)
 
-        before = _sent(group)
+        before = _read_totals(group)
         await trio.sleep(IDLE_S)
-        idle = _sent(group)
+        idle = _read_totals(group)
         first.offer(_snapshot(2))
         changed_at = trio.current_time()
-        has_s = await group.wait_until(
+        received_s = await group.wait_until(
             lambda: all(each.versions[-1] == 2 for each in group.instances.values())
         )
-        await group.wait_until(lambda: _all_know(group, 2), within_s=120)
-        told_s = trio.current_time() - changed_at
-        await trio.sleep(max(0.0, IDLE_S - told_s))
-        after = _sent(group)
+        await group.wait_until(lambda: _is_known_by_all(group, 2), within_s=120)
+        known_s = trio.current_time() - changed_at
+        await trio.sleep(max(0.0, IDLE_S - known_s))
+        after = _read_totals(group)
         seconds = trio.current_time() - changed_at
         rates = [(idle[i] - before[i]) / IDLE_S / count for i in range(3)]
         extra = [(after[i] - idle[i]) / count - rates[i] * seconds for i in range(3)]
-        found.append(
-            Group(
+        costs.append(
+            GroupCost(
                 count,
                 rates[0],
                 rates[1],
@@ -104,38 +104,40 @@
                 extra[0],
                 extra[1],
                 extra[2] * 1000,
-                has_s,
-                told_s,
+                received_s,
+                known_s,
             )
         )
 
-    run_group(story)
-    return found[0]
+    run_group(scenario)
+    return costs[0]
 
 
-def measure_cut(count: int) -> str:
+def measure_partition(count: int) -> str:
     """What a third of a group that is cut off costs each instance, and what healing costs."""
     lines: list[str] = []
 
-    async def story(group: MemberGroup) -> None:
+    async def scenario(group: MemberGroup) -> None:
         await group.start_all(count)
         addresses = list(group.instances)
         group.network.cut_apart(addresses[: count // 3], addresses[count // 3 :])
-        await trio.sleep(CUT_S)
-        began_at, before = trio.current_time(), _sent(group)
+        await trio.sleep(PARTITION_S)
+        began_at, before = trio.current_time(), _read_totals(group)
         await trio.sleep(IDLE_S * 4)
-        cut_bytes_s = (_sent(group).bytes - before.bytes) / (trio.current_time() - began_at) / count
-        healed_at, before = trio.current_time(), _sent(group)
+        partition_bytes_s = (
+            (_read_totals(group).bytes - before.bytes) / (trio.current_time() - began_at) / count
+        )
+        healed_at, before = trio.current_time(), _read_totals(group)
         group.network.heal()
         await group.wait_until(lambda: group.all_see_all("live"), within_s=120)
         healed_s = trio.current_time() - healed_at
-        healing = (_sent(group).bytes - before.bytes) / count
+        healing = (_read_totals(group).bytes - before.bytes) / count
         lines.append(
-            f"a third of {count} cut off: {cut_bytes_s:.0f} bytes/s sent each;"
+            f"a third of {count} cut off: {partition_bytes_s:.0f} bytes/s sent each;"
             f" after healing all see all in {healed_s:.1f} s, {healing:.0f} bytes each"
         )
 
-    run_group(story)
+    run_group(scenario)
     return lines[0]
 
 
@@ -143,17 +145,17 @@
     """What one report of one instance (its epoch, its load) costs each member."""
     lines: list[str] = []
 
-    async def story(group: MemberGroup) -> None:
+    async def scenario(group: MemberGroup) -> None:
         await group.start_all(count)
-        await trio.sleep(CUT_S)
-        before = _sent(group)
+        await trio.sleep(PARTITION_S)
+        before = _read_totals(group)
         await trio.sleep(IDLE_S)
-        idle = _sent(group)
+        idle = _read_totals(group)
         instances = list(group.instances.values())
         for number in range(int(IDLE_S * REPORTS_S)):
             instances[number % count].membership.publish(epoch=2 + number // count)
             await trio.sleep(1 / REPORTS_S)
-        after = _sent(group)
+        after = _read_totals(group)
         cost = (after.bytes - 2 * idle.bytes + before.bytes) / count
         messages = (after.messages - 2 * idle.messages + before.messages) / count
         reports = int(IDLE_S * REPORTS_S)
@@ -162,11 +164,11 @@
             f" {cost / reports:.0f} bytes in {messages / reports:.2f} messages sent by each"
         )
 
-    run_group(story)
+    run_group(scenario)
     return lines[0]
 
 
-def group_lines(rows: list[Group]) -> list[str]:
+def format_group_table(rows: list[GroupCost]) -> list[str]:
     lines = [
         "          |   idle, each, sent a second     |       one change, each, sent       | s till",
         "instances messages   bytes on wire* cpu ms   messages    bytes on wire* cpu ms   has told",
@@ -178,7 +180,7 @@
             f"{row.instances:9d} {row.messages_s:8.2f} {row.bytes_s:7.0f} {wire:8.0f}"
             f" {row.processor_ms_s:6.2f} {row.change_messages:10.1f} {row.change_bytes:8.0f}"
             f" {change_wire:8.0f} {row.change_processor_ms:6.1f}"
-            f" {row.change_has_s:6.2f} {row.change_told_s:5.2f}"
+            f" {row.change_received_s:6.2f} {row.change_known_s:5.2f}"
         )
     lines.append(f"* estimated: {HEADER_BYTES} bytes of headers and acknowledgement a message")
     return lines
--- a/bench/capacity_instance.py
+++ b/bench/capacity_instance.py
@@ -21,7 +21,7 @@
 from tests.common.platform_process import PlatformProcess, fresh_address
 from tests.common.processes import ModuleProcess
 
-from bench.lookup import BLOCKS_AN_OBJECT, client_blocks
+from bench.lookup import BLOCKS_PER_OBJECT, generate_client_blocks
 from wagtailpoint.adapters.clock import SystemClock
 from wagtailpoint.adapters.platform_http import HttpPlatform
 from wagtailpoint.config.manifest import ChangeInfo, Snapshot
@@ -34,8 +34,8 @@
     encode_delta,
 )
 
-LIMIT_S = 60.0
-_MB = 1024.0
+CHANGE_TIMEOUT_S = 60.0
+_KB_PER_MB = 1024.0
 """Kilobytes of a megabyte."""
 
 
@@ -46,24 +46,24 @@
     rss_kb: int
     peak_kb: int
     change_s: float
-    longest_wait_s: float
+    max_wait_s: float
     start_s: float
     start_rss_kb: int
 
 
-def _objects(count: int, *, regions: int) -> Mapping[str, Any]:
+def _build_objects(count: int, *, regions: int) -> Mapping[str, Any]:
     names = [f"site-{number}" for number in range(regions)]
     objects: dict[str, Any] = {
         f"region/{name}": {
             "failure_domains": [f"{name}-a"],
-            "latency_ms": {other: 20.0 for other in names if other != name},
+            "latency_ms": {neighbour: 20.0 for neighbour in names if neighbour != name},
         }
         for name in names
     }
-    blocks = client_blocks(count)
-    for begin in range(0, count, BLOCKS_AN_OBJECT):
-        number = begin // BLOCKS_AN_OBJECT
-        networks = [block.network for block in blocks[begin : begin + BLOCKS_AN_OBJECT]]
+    blocks = generate_client_blocks(count)
+    for begin in range(0, count, BLOCKS_PER_OBJECT):
+        number = begin // BLOCKS_PER_OBJECT
+        networks = [block.network for block in blocks[begin : begin + BLOCKS_PER_OBJECT]]
         objects[f"blocks/part-{number}"] = {
             "region": names[number % regions],
             "networks": networks,
@@ -71,7 +71,7 @@
     return objects
 
 
-def _status_kb(pid: int, field: str) -> int:
+def _read_status_kb(pid: int, field: str) -> int:
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith(field + ":"))
 
@@ -108,17 +108,17 @@
         answer = pool.request("GET", f"http://{self.address}:8080/v1/status")
         return int(msgspec.json.decode(answer.content)["config_version"])
 
-    def until(self, version: int, *, since: float) -> tuple[float, float]:
+    def wait_for_version(self, version: int, *, since: float) -> tuple[float, float]:
         """Wait until a version is in force; how long that took, and the longest answer's wait."""
-        longest = 0.0
+        max_wait_s = 0.0
         with httpcore.ConnectionPool() as pool:
             while True:
-                began = time.monotonic()
+                started_at = time.monotonic()
                 reached = self.version(pool)
-                longest = max(longest, time.monotonic() - began)
+                max_wait_s = max(max_wait_s, time.monotonic() - started_at)
                 if reached >= version:
-                    return time.monotonic() - since, longest
-                if time.monotonic() - since > LIMIT_S:
+                    return time.monotonic() - since, max_wait_s
+                if time.monotonic() - since > CHANGE_TIMEOUT_S:
                     raise RuntimeError(f"version {version} not in force\n{self.process.log}")
                 time.sleep(0.002)
 
@@ -142,7 +142,7 @@
 
 
 @contextmanager
-def _deployment() -> Iterator[tuple[PlatformProcess, _Instance]]:
+def _run_deployment() -> Iterator[tuple[PlatformProcess, _Instance]]:
     with TemporaryDirectory() as directory, PlatformProcess() as platform:
         instance = _Instance(platform, Path(directory))
         with instance.process:
@@ -152,26 +152,28 @@
 def measure_memory(sizes: tuple[int, ...], *, regions: int) -> list[Memory]:
     """Grow the client blocks of one instance; start a fresh one at each size as well."""
     rows = []
-    with _deployment() as (platform, instance):
+    with _run_deployment() as (platform, instance):
         for version, count in enumerate(sizes, start=1):
-            objects = _objects(count, regions=regions)
+            objects = _build_objects(count, regions=regions)
             since = time.monotonic()
             _apply(platform, objects, version)
-            change_s, longest_s = instance.until(version, since=since)
+            change_s, max_wait_s = instance.wait_for_version(version, since=since)
             time.sleep(0.5)
-            rss_kb, peak_kb = (_status_kb(instance.process.pid, it) for it in ("VmRSS", "VmHWM"))
+            rss_kb, peak_kb = (
+                _read_status_kb(instance.process.pid, field) for field in ("VmRSS", "VmHWM")
+            )
             with TemporaryDirectory() as directory:
                 fresh = _Instance(platform, Path(directory))
-                began = time.monotonic()
+                started_at = time.monotonic()
                 with fresh.process:
-                    start_s, _ = fresh.until(version, since=began)
+                    start_s, _ = fresh.wait_for_version(version, since=started_at)
                     time.sleep(0.5)
-                    start_rss_kb = _status_kb(fresh.process.pid, "VmRSS")
-            rows.append(Memory(count, rss_kb, peak_kb, change_s, longest_s, start_s, start_rss_kb))
+                    start_rss_kb = _read_status_kb(fresh.process.pid, "VmRSS")
+            rows.append(Memory(count, rss_kb, peak_kb, change_s, max_wait_s, start_s, start_rss_kb))
     return rows
 
 
-def _processor_s(pid: int) -> float:
+def _read_processor_s(pid: int) -> float:
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(") ")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -182,42 +184,42 @@
         running.apply_objects()
         entry = running.entries[0]
         time.sleep(1.0)
-        calls, used_s = _calls(running), _processor_s(entry.pid)
+        calls, used_s = _count_platform_calls(running), _read_processor_s(entry.pid)
         time.sleep(window_s)
-        share = (_processor_s(entry.pid) - used_s) / window_s
-        calls = _calls(running) - calls
-        lookup_ms = _lookup_ms(entry, lookups)
+        core_fraction = (_read_processor_s(entry.pid) - used_s) / window_s
+        calls = _count_platform_calls(running) - calls
+        lookup_ms = _measure_lookup_ms(entry, lookups)
     text = ", ".join(f"{name} {count}" for name, count in calls.items())
     return [
-        f"one idle instance alone, {window_s:.0f} s: {share:.2%} of a core; platform calls: {text}",
+        f"one idle instance alone, {window_s:.0f} s: {core_fraction:.2%} of a core; platform calls: {text}",
         f"processor time of a lookup over HTTP: {lookup_ms:.2f} ms ({lookups} on one connection)",
     ]
 
 
-def _calls(running: RunningDeployment) -> Counter[str]:
+def _count_platform_calls(running: RunningDeployment) -> Counter[str]:
     calls = running.platform_counts()["calls"]
     return Counter(
         {f"{method} {kind}": count for kind in calls for method, count in calls[kind].items()}
     )
 
 
-def _lookup_ms(entry: EntryProcess, count: int) -> float:
+def _measure_lookup_ms(entry: EntryProcess, count: int) -> float:
     """Processor milliseconds of the instance for each lookup over one kept connection."""
     address, port = entry.place
     url = f"http://{address}:{port}/v1/lookup?workspace=surakkha&address=10.16.0.9"
     with httpcore.ConnectionPool() as pool:
         assert pool.request("GET", url).status == HTTPStatus.OK
-        before = _processor_s(entry.pid)
+        before = _read_processor_s(entry.pid)
         for _ in range(count):
             pool.request("GET", url)
-        return (_processor_s(entry.pid) - before) / count * 1000
+        return (_read_processor_s(entry.pid) - before) / count * 1000
 
 
 def measure_replacement(count: int, *, regions: int) -> str:
     """What a replacement's full configuration costs: the peer that gives it, and itself."""
-    objects = {key: pack(value) for key, value in _objects(count, regions=regions).items()}
+    objects = {key: pack(value) for key, value in _build_objects(count, regions=regions).items()}
     snapshot = add_content_hashes(Snapshot(ChangeInfo(1, "c1", "bench", 0.0, ""), objects))
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     data = encode_delta(snapshot, frozenset(objects))
     encoded = time.perf_counter()
     digest = compute_digest(snapshot.content_hashes)
@@ -225,17 +227,17 @@
     applied = time.perf_counter()
     return (
         f"full configuration of {count} blocks: {len(data)} bytes, encoded in"
-        f" {(encoded - began) * 1000:.0f} ms, decoded in {(applied - encoded) * 1000:.0f} ms"
+        f" {(encoded - started_at) * 1000:.0f} ms, decoded in {(applied - encoded) * 1000:.0f} ms"
     )
 
 
-def memory_lines(rows: list[Memory]) -> list[str]:
+def format_memory_table(rows: list[Memory]) -> list[str]:
     lines = [
         "   blocks  RSS MB  peak MB  change s  longest wait s  fresh: in force s  RSS MB",
     ]
     for row in rows:
         lines.append(
-            f"{row.blocks:9d} {row.rss_kb / _MB:7.1f} {row.peak_kb / _MB:8.1f} {row.change_s:9.2f}"
-            f" {row.longest_wait_s:15.3f} {row.start_s:18.2f} {row.start_rss_kb / _MB:7.1f}"
+            f"{row.blocks:9d} {row.rss_kb / _KB_PER_MB:7.1f} {row.peak_kb / _KB_PER_MB:8.1f} {row.change_s:9.2f}"
+            f" {row.max_wait_s:15.3f} {row.start_s:18.2f} {row.start_rss_kb / _KB_PER_MB:7.1f}"
         )
     return lines
--- a/bench/classes.py
+++ b/bench/classes.py
@@ -9,11 +9,11 @@
 from typing import Final
 
 from bench.admission_driver import (
-    ALL_SLOTS,
+    TOTAL_SLOTS,
     BROCHURE,
     BROWSE,
     CAPACITY_RPS,
-    PLAIN_AND_OURS,
+    ONE_CLASS_RULES,
     RULES,
     TONIGHT,
     Run,
@@ -21,20 +21,20 @@
 )
 from wagtailpoint.admission.ceilings import max_held_slots
 
-MOST_TONIGHT_RATIO: Final = 1.2
-LEAST_GOODPUT_RATIO: Final = 0.95
-MOST_INHERITED_RATIO: Final = 1.05
-LEAST_CEILING_USE: Final = 0.9
-MOST_LATE_PART: Final = 0.02
+MAX_TONIGHT_P99_RATIO: Final = 1.2
+MIN_GOODPUT_RATIO: Final = 0.95
+MAX_INHERITED_P99_RATIO: Final = 1.05
+MIN_CEILING_UTILISATION: Final = 0.9
+MAX_LATE_REFUSAL_FRACTION: Final = 0.02
 DOWNLOAD_S: Final = 0.5
 
 _figures: dict[str, dict[str, float]] = {}
 _broken: list[str] = []
 
 
-def steady(part: float, hold_s: float | None = None):
+def constant_rate(fraction: float, hold_s: float | None = None):
     """So much of the capacity, all the time."""
-    rps = part * (CAPACITY_RPS if hold_s is None else ALL_SLOTS / hold_s)
+    rps = fraction * (CAPACITY_RPS if hold_s is None else TOTAL_SLOTS / hold_s)
     return lambda _now_s: rps
 
 
@@ -48,135 +48,150 @@
     _figures.clear()
     _broken.clear()
     factor = 1 if short else 5
-    lines = tonight_under_pressure(2.0 * factor)
-    lines += goodput(1.0 * factor)
-    lines += rent_day(1 if short else 3)
-    lines += inherited(3.0 * factor)
-    lines += idle_room(2.0 * factor)
+    lines = measure_priority(2.0 * factor)
+    lines += measure_goodput(1.0 * factor)
+    lines += measure_load_step(1 if short else 3)
+    lines += measure_inherited_workspace(3.0 * factor)
+    lines += measure_ceiling_use(2.0 * factor)
     # At the end, so that a broken bound doesn't hide the rest of the table.
     assert not _broken, "; ".join(_broken) + "\n" + "\n".join(lines)
     return lines
 
 
-def _check(holds: bool, broken: str) -> None:
-    if not holds:
+def _check(is_kept: bool, broken: str) -> None:
+    if not is_kept:
         _broken.append(broken)
 
 
-def tonight_under_pressure(until_s: float) -> list[str]:
+def measure_priority(duration_s: float) -> list[str]:
     """Tonight-searches while browsing and brochures press, each with 1.5 × the capacity."""
-    tonight = Stream(TONIGHT, steady(0.3))
-    browse = Stream(BROWSE, steady(1.5))
+    tonight = Stream(TONIGHT, constant_rate(0.3))
+    browse = Stream(BROWSE, constant_rate(1.5))
     brochure = Stream(
-        BROCHURE, steady(1.5, DOWNLOAD_S), hold_s=DOWNLOAD_S, timeout_s=5.0, long=True
+        BROCHURE, constant_rate(1.5, DOWNLOAD_S), hold_s=DOWNLOAD_S, timeout_s=5.0, long=True
     )
-    idle = Run(rule="ours", streams=[tonight], until_s=until_s).by_class["tonight"]
+    idle = Run(rule="ours", streams=[tonight], duration_s=duration_s).by_class["tonight"]
     lines = [
         "tonight at 0.3 of capacity, browsing and brochures at 1.5 each",
         "rule   tonight p50/p99 ms  of idle  refused  browse answered/s  downloads finished/s",
-        f"idle   {idle.at_ms(50):8.1f} {idle.at_ms(99):9.1f}     1.00 {idle.refused:8}",
+        f"idle   {idle.percentile_ms(50):8.1f} {idle.percentile_ms(99):9.1f}     1.00 {idle.refused:8}",
     ]
-    bars = _figures.setdefault("tonight p99 ms", {"idle": idle.at_ms(99)})
+    bars = _figures.setdefault("tonight p99 ms", {"idle": idle.percentile_ms(99)})
     for rule in RULES:
-        found = Run(rule=rule, streams=[tonight, browse, brochure], until_s=until_s).by_class
-        urgent = found["tonight"]
-        ratio = urgent.at_ms(99) / idle.at_ms(99)
-        bars[rule] = urgent.at_ms(99)
+        results = Run(
+            rule=rule, streams=[tonight, browse, brochure], duration_s=duration_s
+        ).by_class
+        urgent = results["tonight"]
+        ratio = urgent.percentile_ms(99) / idle.percentile_ms(99)
+        bars[rule] = urgent.percentile_ms(99)
         lines.append(
-            f"{rule:6} {urgent.at_ms(50):8.1f} {urgent.at_ms(99):9.1f} {ratio:8.2f} "
-            f"{urgent.refused + urgent.timed_out:8} {found['browse'].answered / until_s:18.0f} "
-            f"{found['brochure'].answered / until_s:21.1f}"
+            f"{rule:6} {urgent.percentile_ms(50):8.1f} {urgent.percentile_ms(99):9.1f} {ratio:8.2f} "
+            f"{urgent.refused + urgent.timed_out:8} {results['browse'].answered / duration_s:18.0f} "
+            f"{results['brochure'].answered / duration_s:21.1f}"
         )
-    _check(ratio <= MOST_TONIGHT_RATIO, f"tonight p99 is {ratio:.2f} x that of an idle system")
+    _check(ratio <= MAX_TONIGHT_P99_RATIO, f"tonight p99 is {ratio:.2f} x that of an idle system")
     _check(not urgent.refused, f"{urgent.refused} tonight-searches were refused")
-    _check(found["brochure"].answered > 0, "no download finished")
+    _check(results["brochure"].answered > 0, "no download finished")
     return lines
 
 
-def goodput(until_s: float) -> list[str]:
+def measure_goodput(duration_s: float) -> list[str]:
     """One class at 1 × and 3 × its capacity, also with callers that repeat at once."""
     lines = [
         "goodput as a part of all slot time; at 3 x as a part of that at 1 x",
         "rule   at 1 x  at 3 x  ratio  at 3 x repeating  ratio  late refusals  timed out",
     ]
     bars = _figures.setdefault("goodput at 3 x, repeating", {})
-    for rule in PLAIN_AND_OURS:
-        once = Run(
-            rule=rule, streams=[Stream(TONIGHT, steady(1.0), timeout_s=0.25)], until_s=until_s
+    for rule in ONE_CLASS_RULES:
+        at_capacity = Run(
+            rule=rule,
+            streams=[Stream(TONIGHT, constant_rate(1.0), timeout_s=0.25)],
+            duration_s=duration_s,
         )
-        thrice = Run(
-            rule=rule, streams=[Stream(TONIGHT, steady(3.0), timeout_s=0.25)], until_s=until_s
+        overloaded = Run(
+            rule=rule,
+            streams=[Stream(TONIGHT, constant_rate(3.0), timeout_s=0.25)],
+            duration_s=duration_s,
         )
-        again = Stream(TONIGHT, steady(3.0), timeout_s=0.25, repeats=2)
-        storm = Run(rule=rule, streams=[again], until_s=until_s)
-        ratios = thrice.used / once.used, storm.used / once.used
-        found = storm.by_class["tonight"]
-        bars[rule] = storm.used
+        retrying = Stream(TONIGHT, constant_rate(3.0), timeout_s=0.25, retries=2)
+        overloaded_retrying = Run(rule=rule, streams=[retrying], duration_s=duration_s)
+        ratios = (
+            overloaded.goodput_fraction / at_capacity.goodput_fraction,
+            overloaded_retrying.goodput_fraction / at_capacity.goodput_fraction,
+        )
+        results = overloaded_retrying.by_class["tonight"]
+        bars[rule] = overloaded_retrying.goodput_fraction
         lines.append(
-            f"{rule:6} {once.used:6.3f} {thrice.used:7.3f} {ratios[0]:6.2f} {storm.used:17.3f} "
-            f"{ratios[1]:6.2f} {found.late_refusals:14} {found.timed_out:10}"
+            f"{rule:6} {at_capacity.goodput_fraction:6.3f} {overloaded.goodput_fraction:7.3f} {ratios[0]:6.2f} {overloaded_retrying.goodput_fraction:17.3f} "
+            f"{ratios[1]:6.2f} {results.late_refusals:14} {results.timed_out:10}"
         )
-    _check(min(ratios) >= LEAST_GOODPUT_RATIO, f"goodput falls to {min(ratios):.2f} at 3 x load")
+    _check(min(ratios) >= MIN_GOODPUT_RATIO, f"goodput falls to {min(ratios):.2f} at 3 x load")
     return lines
 
 
-def rent_day(rounds: int) -> list[str]:
+def measure_load_step(rounds: int) -> list[str]:
     """Balance checks rise ten-fold, from 0.2 to 2 × the capacity, stay so, and fall again."""
 
     def checks(now_s: float) -> float:
         return CAPACITY_RPS * (2.0 if 1.0 <= now_s < 1.0 + 2.0 * rounds else 0.2)
 
-    until_s = 2.0 + 2.0 * rounds
+    duration_s = 2.0 + 2.0 * rounds
     lines = [
         "rent day: balance checks from 0.2 to 2 x capacity within an instant",
         "rule   p50/p99 ms of answers  answered  refused  late refusals  timed out",
     ]
     bars = _figures.setdefault("rent day p99 ms", {})
-    for rule in PLAIN_AND_OURS:
-        found = Run(rule=rule, streams=[Stream(TONIGHT, checks)], until_s=until_s)
-        check = found.by_class["tonight"]
-        bars[rule] = check.at_ms(99)
+    for rule in ONE_CLASS_RULES:
+        results = Run(rule=rule, streams=[Stream(TONIGHT, checks)], duration_s=duration_s)
+        check = results.by_class["tonight"]
+        bars[rule] = check.percentile_ms(99)
         lines.append(
-            f"{rule:6} {check.at_ms(50):8.1f} {check.at_ms(99):12.1f} {check.answered:9} "
+            f"{rule:6} {check.percentile_ms(50):8.1f} {check.percentile_ms(99):12.1f} {check.answered:9} "
             f"{check.refused:8} {check.late_refusals:14} {check.timed_out:10}"
         )
-    late = check.late_refusals / max(1, check.refused)
-    _check(late <= MOST_LATE_PART, f"{late:.3f} of the refusals came late")
+    late_fraction = check.late_refusals / max(1, check.refused)
+    _check(
+        late_fraction <= MAX_LATE_REFUSAL_FRACTION, f"{late_fraction:.3f} of the refusals came late"
+    )
     return lines
 
 
-def inherited(until_s: float) -> list[str]:
+def measure_inherited_workspace(duration_s: float) -> list[str]:
     """An inherited workspace beside an own one, at 85 % load, and while the own one floods."""
     lines = [
         "inherited against own workspace, p99 ms",
         "rule   at 0.85: own  inherited  ratio   flood by own: own  inherited  inherited refused",
     ]
-    both = Stream(TONIGHT, steady(0.85), workspaces=("own", "inherited"))
-    flood = Stream(TONIGHT, steady(2.5))
-    few = Stream(TONIGHT, steady(0.2), workspaces=("inherited",))
-    for rule in PLAIN_AND_OURS:
-        even = Run(rule=rule, streams=[both], until_s=until_s).by_workspace
-        pressed = Run(rule=rule, streams=[flood, few], until_s=until_s / 2).by_workspace
-        p99 = [even[name].at_ms(99) for name in ("own", "inherited")]
+    both = Stream(TONIGHT, constant_rate(0.85), workspaces=("own", "inherited"))
+    flood = Stream(TONIGHT, constant_rate(2.5))
+    quiet = Stream(TONIGHT, constant_rate(0.2), workspaces=("inherited",))
+    for rule in ONE_CLASS_RULES:
+        balanced = Run(rule=rule, streams=[both], duration_s=duration_s).by_workspace
+        flooded = Run(rule=rule, streams=[flood, quiet], duration_s=duration_s / 2).by_workspace
+        p99 = [balanced[name].percentile_ms(99) for name in ("own", "inherited")]
         ratio = max(p99) / min(p99)
         lines.append(
             f"{rule:6} {p99[0]:13.1f} {p99[1]:10.1f} {ratio:6.2f} "
-            f"{pressed['own'].at_ms(99):19.1f} {pressed['inherited'].at_ms(99):10.1f} "
-            f"{pressed['inherited'].refused:18}"
+            f"{flooded['own'].percentile_ms(99):19.1f} {flooded['inherited'].percentile_ms(99):10.1f} "
+            f"{flooded['inherited'].refused:18}"
         )
-    _check(ratio <= MOST_INHERITED_RATIO, f"p99 of own and inherited differ by {ratio:.2f}")
-    _check(not pressed["inherited"].refused, "an inherited workspace was refused in a flood")
+    _check(ratio <= MAX_INHERITED_P99_RATIO, f"p99 of own and inherited differ by {ratio:.2f}")
+    _check(not flooded["inherited"].refused, "an inherited workspace was refused in a flood")
     return lines
 
 
-def idle_room(until_s: float) -> list[str]:
+def measure_ceiling_use(duration_s: float) -> list[str]:
     """Brochures alone, at 3 × the capacity, use what their ceiling allows."""
     brochure = Stream(
-        BROCHURE, steady(3.0, DOWNLOAD_S), hold_s=DOWNLOAD_S, timeout_s=5.0, long=True
+        BROCHURE, constant_rate(3.0, DOWNLOAD_S), hold_s=DOWNLOAD_S, timeout_s=5.0, long=True
     )
-    alone = Run(rule="ours", streams=[brochure], until_s=until_s)
-    ceiling = max_held_slots(BROCHURE, ALL_SLOTS)
-    most = alone.most_held["brochure"]
-    use = alone.used * ALL_SLOTS / ceiling
-    _check(most == ceiling, f"brochures alone held {most} slots, their ceiling is {ceiling}")
-    return [f"brochures alone: {most} of {ceiling} slots held at most, {use:.2f} of them in use"]
+    alone = Run(rule="ours", streams=[brochure], duration_s=duration_s)
+    ceiling = max_held_slots(BROCHURE, TOTAL_SLOTS)
+    max_held = alone.max_held["brochure"]
+    utilisation = alone.goodput_fraction * TOTAL_SLOTS / ceiling
+    _check(
+        max_held == ceiling, f"brochures alone held {max_held} slots, their ceiling is {ceiling}"
+    )
+    return [
+        f"brochures alone: {max_held} of {ceiling} slots held at most, {utilisation:.2f} of them in use"
+    ]
--- a/bench/config_spread.py
+++ b/bench/config_spread.py
@@ -16,8 +16,8 @@
 SHORT_FLEETS = (3, 9)
 FULL_FLEETS = (3, 9, 30)
 CHANGES = 5
-IN_FORCE_LIMIT_S = 10.0
-MOST_CALLS_GROWTH = 2.5
+IN_FORCE_TIMEOUT_S = 10.0
+MAX_CALLS_GROWTH = 2.5
 """Calls a change may grow by this factor from the smallest to the largest fleet: it grows with the
 failure domains, not with the instances."""
 
@@ -30,16 +30,16 @@
 
     def __init__(self, *, instances: int) -> None:
         self.instances = instances
-        self.took_s: list[float] = []
+        self.durations_s: list[float] = []
         self.calls: list[int] = []
 
     @property
-    def line(self) -> str:
+    def row(self) -> str:
         """A line of the table."""
-        took = sorted(self.took_s)
-        median_ms, worst_ms = took[len(took) // 2] * 1000, took[-1] * 1000
+        sorted_s = sorted(self.durations_s)
+        median_ms, max_ms = sorted_s[len(sorted_s) // 2] * 1000, sorted_s[-1] * 1000
         calls = f"{min(self.calls):>5} | {max(self.calls):>5}"
-        return f"{self.instances:>9} | {median_ms:>9.0f} | {worst_ms:>8.0f} | {calls}"
+        return f"{self.instances:>9} | {median_ms:>9.0f} | {max_ms:>8.0f} | {calls}"
 
 
 def run(short: bool) -> list[str]:
@@ -50,9 +50,9 @@
     """
     spreads = [measure(instances) for instances in (SHORT_FLEETS if short else FULL_FLEETS)]
     first, last = min(spreads[0].calls), min(spreads[-1].calls)
-    assert last <= MOST_CALLS_GROWTH * first, f"{last} calls a change, {first} in the small fleet"
+    assert last <= MAX_CALLS_GROWTH * first, f"{last} calls a change, {first} in the small fleet"
     header = "instances | median ms | worst ms | calls of the platform by instances, least and most"
-    return [header, *(spread.line for spread in spreads)]
+    return [header, *(spread.row for spread in spreads)]
 
 
 def measure(instances: int) -> Spread:
@@ -61,11 +61,11 @@
     with RunningDeployment(name="surakkha", entries=instances) as running:
         running.apply_objects()
         for number in range(CHANGES):
-            trio.run(_change, running, spread, 2000 + number)
+            trio.run(_apply_change, running, spread, 2000 + number)
     return spread
 
 
-async def _change(running: RunningDeployment, spread: Spread, max_rps: int) -> None:
+async def _apply_change(running: RunningDeployment, spread: Spread, max_rps: int) -> None:
     address = running.entries[0].settings.platform[0]
     platform = HttpPlatform(addresses=[(address.address, address.port)], timeout_s=2.0)
     store = ConfigStore(platform=platform, clock_wall=time.time)
@@ -81,18 +81,20 @@
         author="bench",
         message="measure the spread",
     )
-    accepted = time.time()
-    own = (await trio.to_thread.run_sync(running.platform_counts))["total"] - before
+    accepted_at = time.time()
+    operator_calls = (await trio.to_thread.run_sync(running.platform_counts))["total"] - before
     version = applied.unwrap().change.version
-    in_force = [await _in_force_at(running, index, version) for index in range(spread.instances)]
-    spread.took_s.append(max(0.0, max(in_force) - accepted))
+    in_force_at = [
+        await _wait_until_in_force(running, index, version) for index in range(spread.instances)
+    ]
+    spread.durations_s.append(max(0.0, max(in_force_at) - accepted_at))
     after = (await trio.to_thread.run_sync(running.platform_counts))["total"]
-    spread.calls.append(after - before - min(own, OPERATOR_CALLS))
+    spread.calls.append(after - before - min(operator_calls, OPERATOR_CALLS))
 
 
-async def _in_force_at(running: RunningDeployment, index: int, version: int) -> float:
+async def _wait_until_in_force(running: RunningDeployment, index: int, version: int) -> float:
     """When an instance put a version into force, by the wall clock that all share here."""
-    with trio.fail_after(IN_FORCE_LIMIT_S):
+    with trio.fail_after(IN_FORCE_TIMEOUT_S):
         while True:
             page = await trio.to_thread.run_sync(running.entries[index].page, "timeline")
             for event in page["events"]:
--- a/bench/entry.py
+++ b/bench/entry.py
@@ -22,23 +22,23 @@
 OPEN_REQUESTS = 500
 PLAIN_PORT = 7999
 UNLIMITED_RPS = 1_000_000
-REQUESTS_A_CONNECTION = 250
+REQUESTS_PER_CONNECTION = 250
 """Fewer than after which hypercorn, as it comes, closes a connection."""
 
-MOST_LOOKUP_RATIO = 0.9
-MOST_PROXIED_RATIO = 3.5
-MOST_LATENCY_RATIO = 8.0
-MOST_MEMORY_RATIO = 1.4
-MOST_STALLED_RATIO = 2.0
+MAX_LOOKUP_RATIO = 0.9
+MAX_PROXIED_RATIO = 3.5
+MAX_LATENCY_RATIO = 8.0
+MAX_MEMORY_RATIO = 1.4
+MAX_STALLED_RATIO = 2.0
 
 BALANCE = b"GET /deposits/balance/7 HTTP/1.1\r\nHost: e\r\nWagtailpoint-Workspace: surakkha\r\n\r\n"
 LOOKUP = b"GET /v1/lookup?workspace=surakkha&address=10.16.0.9 HTTP/1.1\r\nHost: e\r\n\r\n"
-SLOW = (
+RELEASE = (
     b"POST /releases HTTP/1.1\r\nHost: e\r\nWagtailpoint-Workspace: surakkha\r\n"
     b"Content-Length: 2\r\n\r\n{}"
 )
 STALLED_HEAD = LOOKUP[:-2]
-STALLED_BODY = SLOW.replace(b"Content-Length: 2", b"Content-Length: 200000")
+STALLED_BODY = RELEASE.replace(b"Content-Length: 2", b"Content-Length: 200000")
 LONG_DOWNLOAD = BALANCE.replace(b"/deposits/balance/7", b"/statements/bulk/100000000")
 
 
@@ -79,26 +79,26 @@
         running = stack.enter_context(_deployment())
         _apply_unlimited(running)
         entry = running.entries[0]
-        plain_place = (entry.settings.address, PLAIN_PORT)
-        plain = stack.enter_context(_plain_server(*plain_place))
+        plain_endpoint = (entry.settings.address, PLAIN_PORT)
+        plain = stack.enter_context(_plain_server(*plain_endpoint))
         backends = running.backends["deposit-desk"]
         server = backends.servers[0]
-        idle_us = _idle_cpu_us(entry.pid, seconds=1.0 if short else 5.0)
+        idle_us = _measure_idle_cpu_us(entry.pid, seconds=1.0 if short else 5.0)
         measured = {
-            "hypercorn alone": _Measured(plain.pid, plain_place, BALANCE, 0.0),
-            "backend server directly": _Measured(
+            "hypercorn alone": _RequestSeries(plain.pid, plain_endpoint, BALANCE, 0.0),
+            "backend server directly": _RequestSeries(
                 backends.pid, (server.address, server.port), BALANCE, 0.0
             ),
-            "lookup": _Measured(entry.pid, entry.place, LOOKUP, idle_us),
-            "proxied": _Measured(entry.pid, entry.place, BALANCE, idle_us),
+            "lookup": _RequestSeries(entry.pid, entry.place, LOOKUP, idle_us),
+            "proxied": _RequestSeries(entry.pid, entry.place, BALANCE, idle_us),
         }
         # By turns, so that other load on the machine falls on all of them alike.
-        for _ in range(count // REQUESTS_A_CONNECTION):
-            for each in measured.values():
-                each.exchange()
-        rows = {name: each.result() for name, each in measured.items()}
-        rows["lookup beside stalled"] = _beside_stalled(entry, idle_us, count)
-        memory = _memory(running)
+        for _ in range(count // REQUESTS_PER_CONNECTION):
+            for series in measured.values():
+                series.exchange()
+        rows = {name: series.result() for name, series in measured.items()}
+        rows["lookup beside stalled"] = _measure_beside_stalled(entry, idle_us, count)
+        memory = _measure_memory(running)
     table = _table(rows, memory, idle_us)
     _check(rows, memory, table)
     return table
@@ -135,20 +135,20 @@
     )
 
 
-def _beside_stalled(entry: EntryProcess, idle_us: float, count: int) -> Exchanges:
+def _measure_beside_stalled(entry: EntryProcess, idle_us: float, count: int) -> Exchanges:
     """Lookups while other callers stand still in their headers, their body, or their reply."""
     stalled = [STALLED_HEAD] * 100 + [STALLED_BODY] * 50 + [LONG_DOWNLOAD] * 10
-    lookups = _Measured(entry.pid, entry.place, LOOKUP, idle_us)
+    lookups = _RequestSeries(entry.pid, entry.place, LOOKUP, idle_us)
     with ExitStack() as stack:
         for request in stalled:
             connection = stack.enter_context(socket.create_connection(entry.place))
             connection.sendall(request)
-        for _ in range(count // REQUESTS_A_CONNECTION):
+        for _ in range(count // REQUESTS_PER_CONNECTION):
             lookups.exchange()
     return lookups.result()
 
 
-class _Measured:
+class _RequestSeries:
     """One kind of request, sent again and again, one after the other."""
 
     def __init__(self, pid: int, place: tuple[str, int], request: bytes, idle_us: float) -> None:
@@ -161,7 +161,7 @@
             idle_us: What the server spends in a second without requests, in microseconds.
         """
         self._pid = pid
-        self._place = place
+        self._endpoint = place
         self._request = request
         self._idle_us = idle_us
         self._histogram = HdrHistogram(1, 60_000_000, 3)
@@ -169,24 +169,26 @@
 
     def exchange(self) -> None:
         """Send some requests on a new connection."""
-        began, cpu = time.perf_counter(), _cpu_us(self._pid)
-        with socket.create_connection(self._place) as connection:
+        started_at, cpu = time.perf_counter(), _cpu_us(self._pid)
+        with socket.create_connection(self._endpoint) as connection:
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            for _ in range(REQUESTS_A_CONNECTION):
-                sent = time.perf_counter()
-                _ask(connection, self._request)
-                latency_us = int((time.perf_counter() - sent) * 1e6)
+            for _ in range(REQUESTS_PER_CONNECTION):
+                sent_at = time.perf_counter()
+                _exchange_once(connection, self._request)
+                latency_us = int((time.perf_counter() - sent_at) * 1e6)
                 self._histogram.record_value(max(1, latency_us))
-        idle_us = self._idle_us * (time.perf_counter() - began)
+        idle_us = self._idle_us * (time.perf_counter() - started_at)
         self._cpu_us += _cpu_us(self._pid) - cpu - idle_us
 
     def result(self) -> Exchanges:
         """What was measured so far."""
-        p50, p99 = (self._histogram.get_value_at_percentile(part) / 1000 for part in (50, 99))
+        p50, p99 = (
+            self._histogram.get_value_at_percentile(percentile) / 1000 for percentile in (50, 99)
+        )
         return Exchanges(self._cpu_us / self._histogram.get_total_count(), p50, p99)
 
 
-def _ask(connection: socket.socket, request: bytes) -> None:
+def _exchange_once(connection: socket.socket, request: bytes) -> None:
     connection.sendall(request)
     data = b""
     while b"\r\n\r\n" not in data:
@@ -197,46 +199,46 @@
     assert head.startswith(b"HTTP/1.1 200"), data
     length = re.search(rb"content-length: (\d+)", head, re.IGNORECASE)
     assert length is not None, head
-    left = int(length[1]) - len(body)
-    while left > 0:
-        left -= len(connection.recv(left))
+    remaining = int(length[1]) - len(body)
+    while remaining > 0:
+        remaining -= len(connection.recv(remaining))
 
 
 def _cpu_us(pid: int) -> float:
     """Processor time of a process in microseconds, by the scheduler's own account."""
-    schedstat = (Path(f"/proc/{pid}/task") / str(task) / "schedstat" for task in _tasks(pid))
+    schedstat = (Path(f"/proc/{pid}/task") / str(task) / "schedstat" for task in _list_tasks(pid))
     return sum(int(path.read_text().split()[0]) for path in schedstat) / 1000
 
 
-def _tasks(pid: int) -> list[str]:
+def _list_tasks(pid: int) -> list[str]:
     return os.listdir(f"/proc/{pid}/task")
 
 
-def _idle_cpu_us(pid: int, *, seconds: float) -> float:
+def _measure_idle_cpu_us(pid: int, *, seconds: float) -> float:
     before = _cpu_us(pid)
     time.sleep(seconds)
     return (_cpu_us(pid) - before) / seconds
 
 
-def _resident_mb(pid: int) -> float:
+def _read_resident_mb(pid: int) -> float:
     found = re.search(r"VmRSS:\s+(\d+) kB", Path(f"/proc/{pid}/status").read_text())
     assert found is not None
     return int(found[1]) / 1024
 
 
-def _memory(running: RunningDeployment) -> Memory:
+def _measure_memory(running: RunningDeployment) -> Memory:
     """Resident memory before and while many requests are open: their last byte is missing."""
     entry = running.entries[0]
-    idle_mb = _resident_mb(entry.pid)
+    idle_mb = _read_resident_mb(entry.pid)
     with ExitStack() as stack:
         for _ in range(OPEN_REQUESTS):
             connection = stack.enter_context(socket.create_connection(entry.place))
-            connection.sendall(SLOW[:-1])
+            connection.sendall(RELEASE[:-1])
         open_requests = 0
-        give_up = time.monotonic() + 10
-        while open_requests < OPEN_REQUESTS and time.monotonic() < give_up:
+        deadline = time.monotonic() + 10
+        while open_requests < OPEN_REQUESTS and time.monotonic() < deadline:
             open_requests = entry.page("status")["requests"]["open"]
-        return Memory(idle_mb, _resident_mb(entry.pid), open_requests)
+        return Memory(idle_mb, _read_resident_mb(entry.pid), open_requests)
 
 
 def _table(rows: Mapping[str, Exchanges], memory: Memory, idle_us: float) -> list[str]:
@@ -249,10 +251,10 @@
         f"{name:<26}{row.cpu_us:>8.0f}{row.p50_ms:>8.2f}{row.p99_ms:>8.2f}"
         for name, row in rows.items()
     ]
-    each_kb = (memory.busy_mb - memory.idle_mb) * 1024 / max(1, memory.open_requests)
+    per_request_kb = (memory.busy_mb - memory.idle_mb) * 1024 / max(1, memory.open_requests)
     lines.append(
         f"memory {memory.idle_mb:.1f} MB idle, {memory.busy_mb:.1f} MB with "
-        f"{memory.open_requests} open requests ({each_kb:.0f} KB each)"
+        f"{memory.open_requests} open requests ({per_request_kb:.0f} KB each)"
     )
     lines.append(f"processor time without requests: {idle_us / 10_000:.2f} % of a core")
     return lines
@@ -264,27 +266,27 @@
     ratios = {
         "a lookup's processor time to hypercorn's": (
             lookup.cpu_us / plain.cpu_us,
-            MOST_LOOKUP_RATIO,
+            MAX_LOOKUP_RATIO,
         ),
         "a proxied request's processor time to hypercorn's": (
             proxied.cpu_us / plain.cpu_us,
-            MOST_PROXIED_RATIO,
+            MAX_PROXIED_RATIO,
         ),
         "median latency through the entry to that of the backend server": (
             proxied.p50_ms / direct.p50_ms,
-            MOST_LATENCY_RATIO,
+            MAX_LATENCY_RATIO,
         ),
         "median latency of a lookup beside stalled callers to that without": (
             rows["lookup beside stalled"].p50_ms / lookup.p50_ms,
-            MOST_STALLED_RATIO,
+            MAX_STALLED_RATIO,
         ),
         "memory with open requests to that without": (
             memory.busy_mb / memory.idle_mb,
-            MOST_MEMORY_RATIO,
+            MAX_MEMORY_RATIO,
         ),
     }
     shown = "\n".join(table)
-    for name, (ratio, most) in ratios.items():
-        table.append(f"{name}: {ratio:.2f} (at most {most})")
-        assert ratio <= most, f"{name} is {ratio:.2f}, at most {most}\n{shown}"
+    for name, (ratio, max_ratio) in ratios.items():
+        table.append(f"{name}: {ratio:.2f} (at most {max_ratio})")
+        assert ratio <= max_ratio, f"{name} is {ratio:.2f}, at most {max_ratio}\n{shown}"
     assert memory.open_requests >= OPEN_REQUESTS, f"open: {memory.open_requests}\n{shown}"
--- a/bench/hedging.py
+++ b/bench/hedging.py
@@ -33,14 +33,14 @@
 
 SERVERS: Final = 24
 SLOTS: Final = 3
-MEAN_S: Final = 0.020
+MEAN_SERVICE_S: Final = 0.020
 SLOW_FACTOR: Final = 5
 STALL_S: Final = 0.3
 RETRY_RATIO: Final = 0.1
 
-MOST_P99_RATIO: Final = 0.9
-MOST_COPIES: Final = 0.06
-LEAST_ANSWERED_RATIO: Final = 0.99
+MAX_P99_RATIO: Final = 0.9
+MAX_HEDGED_FRACTION: Final = 0.06
+MIN_ANSWERED_RATIO: Final = 0.99
 
 
 class Case(NamedTuple):
@@ -54,20 +54,20 @@
     """
 
     name: str
-    slow: int = 0
-    stalls: float = 0.0
-    same_time: bool = False
+    slow_servers: int = 0
+    stall_fraction: float = 0.0
+    same_service_time: bool = False
 
 
 CASES: Final = (
     Case("all alike"),
-    Case("2 slow", slow=2),
-    Case("1 % stall", stalls=0.01),
-    Case("same time", same_time=True),
+    Case("2 slow", slow_servers=2),
+    Case("1 % stall", stall_fraction=0.01),
+    Case("same time", same_service_time=True),
 )
 
 
-class _Choice:
+class _UnrankedChoice:
     """All backend servers, without any ranking."""
 
     def __init__(self) -> None:
@@ -86,11 +86,11 @@
         pass
 
 
-class _Servers:
+class _FixedServers:
     """Implements ``ServerSource``."""
 
     def __init__(self) -> None:
-        self._choice = _Choice()
+        self._choice = _UnrankedChoice()
 
     def pool(self, plan: Plan) -> str:
         return "desk/main"
@@ -117,17 +117,17 @@
         self, server: BackendAddress, request: BackendRequest
     ) -> AsyncIterator[Result[BackendResponse, BackendFailure]]:
         self.exchanges += 1
-        if self._case.same_time:
-            time_s = Random(request.target).expovariate(1 / MEAN_S)
+        if self._case.same_service_time:
+            service_s = Random(request.target).expovariate(1 / MEAN_SERVICE_S)
         else:
-            time_s = self._random.expovariate(1 / MEAN_S)
-        time_s *= SLOW_FACTOR if server.port < self._case.slow else 1
-        time_s += STALL_S if self._random.random() < self._case.stalls else 0.0
-        await trio.sleep(time_s)
-        yield Ok(BackendResponse(200, (), _nothing()))
+            service_s = self._random.expovariate(1 / MEAN_SERVICE_S)
+        service_s *= SLOW_FACTOR if server.port < self._case.slow_servers else 1
+        service_s += STALL_S if self._random.random() < self._case.stall_fraction else 0.0
+        await trio.sleep(service_s)
+        yield Ok(BackendResponse(200, (), _empty_body()))
 
 
-async def _nothing() -> AsyncIterator[bytes]:
+async def _empty_body() -> AsyncIterator[bytes]:
     yield b""
 
 
@@ -141,12 +141,12 @@
 class Run:
     """One case at one load, with second copies or without."""
 
-    def __init__(self, *, case: Case, load: float, copies: bool, until_s: float) -> None:
+    def __init__(self, *, case: Case, load: float, hedging: bool, duration_s: float) -> None:
         self.histogram = HdrHistogram(1, 60_000_000, 3)
         self.arrived = 0
         self._load = load
-        self._copies = copies
-        self._until_s = until_s
+        self._hedging = hedging
+        self._duration_s = duration_s
         self._backends = _Backends(case=case)
         trio.run(self._run, clock=MockClock(autojump_threshold=0.0))
 
@@ -156,46 +156,46 @@
         return int(self.histogram.get_total_count())
 
     @property
-    def copies(self) -> float:
+    def hedged_fraction(self) -> float:
         """Second copies as a part of the answers; exact when nothing fails or is refused."""
         return self._backends.exchanges / self.answered - 1
 
-    def at_ms(self, percentile: float) -> float:
+    def percentile_ms(self, percentile: float) -> float:
         """A percentile of the latency, in milliseconds."""
         return float(self.histogram.get_value_at_percentile(percentile)) / 1000
 
     async def _run(self) -> None:
         clock, random = TrioClock(), Random(4)
-        ratio = RETRY_RATIO if self._copies else 0.0
-        budget = RetryBudget(clock=clock, ratio=ratio, minimum_per_s=float(self._copies))
+        ratio = RETRY_RATIO if self._hedging else 0.0
+        budget = RetryBudget(clock=clock, ratio=ratio, minimum_per_s=float(self._hedging))
         forwarder = Forwarder(
             clock=clock,
             backends=self._backends,  # type: ignore[arg-type]
             slots=SlotPool(clock=clock, max_queued=500, random=Random(2)),
-            servers=_Servers(),
+            servers=_FixedServers(),
             budget=lambda _plan: budget,
             quarantine=Quarantine(others=CrashReportRecorder()),
             observer=_Observer(),  # type: ignore[arg-type]
         )
-        ends = trio.current_time() + self._until_s
-        rps = self._load * SERVERS * SLOTS / MEAN_S
+        end_at = trio.current_time() + self._duration_s
+        rps = self._load * SERVERS * SLOTS / MEAN_SERVICE_S
         config = small_config()
         async with trio.open_nursery() as nursery:
-            while trio.current_time() < ends:
+            while trio.current_time() < end_at:
                 self.arrived += 1
                 plan = small_plan(config, deadline=trio.current_time() + 1.0)
                 nursery.start_soon(self._request, forwarder, plan, f"/{self.arrived}")
                 await trio.sleep(random.expovariate(rps))
 
     async def _request(self, forwarder: Forwarder, plan: Plan, target: str) -> None:
-        began = trio.current_time()
-        request = CallerRequest("GET", target, target, (), None, None, began)
+        started_at = trio.current_time()
+        request = CallerRequest("GET", target, target, (), None, None, started_at)
         planned = PlannedRequest(plan, request, b"", None, target)
-        if isinstance(await forwarder.forward(planned, sink=_ignore), Ok):
-            self.histogram.record_value(max(1, int(1e6 * (trio.current_time() - began))))
+        if isinstance(await forwarder.forward(planned, sink=_discard_response), Ok):
+            self.histogram.record_value(max(1, int(1e6 * (trio.current_time() - started_at))))
 
 
-async def _ignore(response: BackendResponse) -> None:
+async def _discard_response(response: BackendResponse) -> None:
     pass
 
 
@@ -212,30 +212,30 @@
     _figures.clear()
     lines = ["case       load  p50/p99/p99.9 ms without      with second copies    copies"]
     broken = []
-    until_s = 0.8 if short else 4.0
+    duration_s = 0.8 if short else 4.0
     for case in CASES if not short else CASES[1:3]:
         for load in (0.5,) if short else (0.5, 0.85):
-            without = Run(case=case, load=load, copies=False, until_s=until_s)
-            copied = Run(case=case, load=load, copies=True, until_s=until_s)
-            ratio = copied.at_ms(99) / without.at_ms(99)
+            unhedged = Run(case=case, load=load, hedging=False, duration_s=duration_s)
+            hedged = Run(case=case, load=load, hedging=True, duration_s=duration_s)
+            ratio = hedged.percentile_ms(99) / unhedged.percentile_ms(99)
             _figures.setdefault("p99 with / without copies", {})[f"{case.name} {load}"] = ratio
             lines.append(
-                f"{case.name:10} {load:4}  {_row(without)}  {_row(copied)}  {copied.copies:.3f}"
+                f"{case.name:10} {load:4}  {_format_percentiles(unhedged)}  {_format_percentiles(hedged)}  {hedged.hedged_fraction:.3f}"
             )
-            if not case.same_time and ratio > MOST_P99_RATIO:
+            if not case.same_service_time and ratio > MAX_P99_RATIO:
                 broken.append(f"{case.name} at {load}: p99 {ratio:.2f} x that without copies")
-            if copied.copies > MOST_COPIES:
-                broken.append(f"{case.name} at {load}: {copied.copies:.3f} second copies")
+            if hedged.hedged_fraction > MAX_HEDGED_FRACTION:
+                broken.append(f"{case.name} at {load}: {hedged.hedged_fraction:.3f} second copies")
     answered = [
-        Run(case=CASES[1], load=2.0, copies=copies, until_s=until_s).answered
-        for copies in (False, True)
+        Run(case=CASES[1], load=2.0, hedging=hedging, duration_s=duration_s).answered
+        for hedging in (False, True)
     ]
     lines.append(f"2 slow at 2.0: answered without {answered[0]}, with second copies {answered[1]}")
-    if answered[1] < LEAST_ANSWERED_RATIO * answered[0]:
+    if answered[1] < MIN_ANSWERED_RATIO * answered[0]:
         broken.append("second copies lower the goodput under overload")
     assert not broken, "; ".join(broken) + "\n" + "\n".join(lines)
     return lines
 
 
-def _row(measured: Run) -> str:
-    return " ".join(f"{measured.at_ms(percentile):6.1f}" for percentile in (50, 99, 99.9))
+def _format_percentiles(measured: Run) -> str:
+    return " ".join(f"{measured.percentile_ms(percentile):6.1f}" for percentile in (50, 99, 99.9))
--- a/bench/keys.py
+++ b/bench/keys.py
@@ -17,9 +17,9 @@
 KEYS_SHORT = 5_000
 BODY = b'{"release": "accepted", "reference": "0123456789"}'
 # A set of digests is the least that any memory of keys costs.
-MOST_BYTES_AGAINST_SET = 6.0
-MOST_COST_AGAINST_FINGERPRINT = 30.0
-_US = 1e6
+MAX_BYTES_TO_DIGEST_SET_RATIO = 6.0
+MAX_COST_TO_FINGERPRINT_RATIO = 30.0
+_US_PER_S = 1e6
 
 
 def _store() -> KeyStore:
@@ -45,10 +45,10 @@
 
 
 def _fill(store: KeyStore, count: int, outcome: Callable[[int], Outcome]) -> None:
-    mark = fingerprint(method="POST", host="w", target="/releases", body=BODY)
+    digest = fingerprint(method="POST", host="w", target="/releases", body=BODY)
     for number in range(count):
         key = RequestKey("surakkha", f"release-{number:032}")
-        begun = store.begin(key, mark, store.binding)
+        begun = store.begin(key, digest, store.binding)
         assert isinstance(begun, Run)
         store.finish(key, outcome(number))
 
@@ -70,23 +70,23 @@
     return size / len(digests)
 
 
-def _us(count: int, action: Callable[[], object]) -> float:
+def _time_us(count: int, action: Callable[[], object]) -> float:
     best = float("inf")
     for _ in range(3):
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         action()
-        best = min(best, time.perf_counter() - began)
-    return best / count * _US
+        best = min(best, time.perf_counter() - started_at)
+    return best / count * _US_PER_S
 
 
-def _repeat(store: KeyStore, count: int) -> None:
-    mark = fingerprint(method="POST", host="w", target="/releases", body=BODY)
+def _begin_again(store: KeyStore, count: int) -> None:
+    digest = fingerprint(method="POST", host="w", target="/releases", body=BODY)
     binding = store.binding
     for number in range(count):
-        store.begin(RequestKey("surakkha", f"release-{number:032}"), mark, binding)
+        store.begin(RequestKey("surakkha", f"release-{number:032}"), digest, binding)
 
 
-def _fingerprints(count: int) -> None:
+def _compute_fingerprints(count: int) -> None:
     for _ in range(count):
         fingerprint(method="POST", host="w", target="/releases", body=BODY)
 
@@ -95,23 +95,25 @@
     """Measure the memory of keys."""
     count = KEYS_SHORT if short else KEYS_FULL
     answered, refused = _bytes_per_key(count, _answered), _bytes_per_key(count, _refused)
-    least = _bytes_per_set_key(count)
-    first_us = _us(count, lambda: _fill(_store(), count, _answered))
+    set_bytes = _bytes_per_set_key(count)
+    first_us = _time_us(count, lambda: _fill(_store(), count, _answered))
     store = _store()
     _fill(store, count, _answered)
-    repeat_us = _us(count, lambda: _repeat(store, count))
-    fingerprint_us = _us(count, lambda: _fingerprints(count))
+    begin_again_us = _time_us(count, lambda: _begin_again(store, count))
+    fingerprint_us = _time_us(count, lambda: _compute_fingerprints(count))
     lines = [
         f"keys {count}",
         f"bytes for an answered key     {answered:8.0f}",
         f"bytes for a refused key       {refused:8.0f}",
-        f"bytes for a digest in a set   {least:8.0f}",
+        f"bytes for a digest in a set   {set_bytes:8.0f}",
         f"begin and finish, first copy  {first_us:8.2f} us",
-        f"begin, repeat                 {repeat_us:8.2f} us",
+        f"begin, repeat                 {begin_again_us:8.2f} us",
         f"fingerprint alone             {fingerprint_us:8.2f} us",
     ]
-    ratio = refused / least
-    assert ratio <= MOST_BYTES_AGAINST_SET, f"refused key against a digest in a set: {ratio:.1f}"
+    ratio = refused / set_bytes
+    assert (
+        ratio <= MAX_BYTES_TO_DIGEST_SET_RATIO
+    ), f"refused key against a digest in a set: {ratio:.1f}"
     ratio = first_us / fingerprint_us
-    assert ratio <= MOST_COST_AGAINST_FINGERPRINT, f"begin against a fingerprint: {ratio:.1f}"
+    assert ratio <= MAX_COST_TO_FINGERPRINT_RATIO, f"begin against a fingerprint: {ratio:.1f}"
     return lines
--- a/bench/locality.py
+++ b/bench/locality.py
@@ -26,8 +26,8 @@
 from wagtailpoint.observe.metrics import Metrics
 
 SERVICE_S = 0.020
-BETWEEN_REGIONS_S = 0.055
-SERVERS_A_REGION = 6
+ONE_WAY_BETWEEN_REGIONS_S = 0.055
+SERVERS_PER_REGION = 6
 SLOTS = 3
 TIMEOUT_S = 2.0
 
@@ -36,7 +36,7 @@
     """What the callers of each region send, as a part of what one region's servers can do."""
 
     name: str
-    of_region: Sequence[float]
+    region_fractions: Sequence[float]
 
 
 LOADS = (
@@ -46,7 +46,7 @@
 )
 
 
-class Measured(NamedTuple):
+class RunResult(NamedTuple):
     """Latency of a run in milliseconds, and how many requests left their region."""
 
     median_ms: float
@@ -55,7 +55,7 @@
     left_region_part: float
 
 
-class AllAlike:
+class RegionBlindChoice:
     """A choice that ignores regions, as it was before."""
 
     def __init__(self, *, choice: ServerChoice) -> None:
@@ -81,24 +81,24 @@
         self._config = config
         self._near = near
         self._random = Random(seed)
-        self._slots_of: dict[BackendServer, trio.Semaphore] = {}
+        self._slots_by_server: dict[BackendServer, trio.Semaphore] = {}
         self._latencies: list[float] = []
         self._refused = 0
-        self._left = 0
+        self._left_region = 0
 
-    async def measure(self, load: Load, requests: int) -> Measured:
+    async def measure(self, load: Load, requests: int) -> RunResult:
         """Send the load from all regions."""
         async with trio.open_nursery() as nursery:
-            for number, part in enumerate(load.of_region):
-                nursery.start_soon(self._entry, f"region-{number}-a", part, requests)
-        return Measured(
+            for number, fraction in enumerate(load.region_fractions):
+                nursery.start_soon(self._run_entry, f"region-{number}-a", fraction, requests)
+        return RunResult(
             1000 * median(self._latencies),
             1000 * quantiles(self._latencies, n=100)[98],
             self._refused,
-            self._left / len(self._latencies),
+            self._left_region / len(self._latencies),
         )
 
-    async def _entry(self, failure_domain: str, part: float, requests: int) -> None:
+    async def _run_entry(self, failure_domain: str, fraction: float, requests: int) -> None:
         clock = TrioClock()
         servers = ConfiguredServers(
             config=lambda: self._config,
@@ -108,37 +108,37 @@
             failure_domain=failure_domain,
         )
         pool = SlotPool(clock=clock, max_queued=500)
-        rate = part * SERVERS_A_REGION * SLOTS / SERVICE_S
+        arrival_rate = fraction * SERVERS_PER_REGION * SLOTS / SERVICE_S
         async with trio.open_nursery() as nursery:
-            for _ in range(int(requests * part)):
+            for _ in range(int(requests * fraction)):
                 nursery.start_soon(self._request, servers, pool, failure_domain)
-                await trio.sleep(self._random.expovariate(rate))
+                await trio.sleep(self._random.expovariate(arrival_rate))
 
     async def _request(
         self, servers: ConfiguredServers, pool: SlotPool, failure_domain: str
     ) -> None:
-        began = trio.current_time()
-        plan = small_plan(self._config, deadline=began + TIMEOUT_S)
+        started_at = trio.current_time()
+        plan = small_plan(self._config, deadline=started_at + TIMEOUT_S)
         choice: ServerChoice = servers.choice(plan)
         if not self._near:
-            choice = AllAlike(choice=choice)
+            choice = RegionBlindChoice(choice=choice)
         demand = SlotDemand("desk", choice, plan.policy, plan.deadline)
         admitted = await pool.acquire(demand)
         if isinstance(admitted, Err):
             self._refused += 1
             return
         slot = admitted.ok_value
-        away = slot.server.failure_domain[:-2] != failure_domain[:-2]
-        self._left += away
-        await trio.sleep(BETWEEN_REGIONS_S if away else 0.0)
-        async with self._slots_of.setdefault(slot.server, trio.Semaphore(SLOTS)):
+        is_remote = slot.server.failure_domain[:-2] != failure_domain[:-2]
+        self._left_region += is_remote
+        await trio.sleep(ONE_WAY_BETWEEN_REGIONS_S if is_remote else 0.0)
+        async with self._slots_by_server.setdefault(slot.server, trio.Semaphore(SLOTS)):
             await trio.sleep(self._random.expovariate(1 / SERVICE_S))
-        await trio.sleep(BETWEEN_REGIONS_S if away else 0.0)
+        await trio.sleep(ONE_WAY_BETWEEN_REGIONS_S if is_remote else 0.0)
         pool.release(slot)
-        self._latencies.append(trio.current_time() - began)
+        self._latencies.append(trio.current_time() - started_at)
 
 
-def measure(*, load: Load, near: bool, requests: int = 600, seed: int = 1) -> Measured:
+def measure(*, load: Load, near: bool, requests: int = 600, seed: int = 1) -> RunResult:
     """Run one load.
 
     Args:
@@ -147,29 +147,31 @@
         requests: How many requests a region with a load of 1 sends.
         seed: Of arrivals and service times.
     """
-    config = small_config(servers=SERVERS_A_REGION, latency_ms=1000 * BETWEEN_REGIONS_S)
+    config = small_config(servers=SERVERS_PER_REGION, latency_ms=1000 * ONE_WAY_BETWEEN_REGIONS_S)
     run = _Run(config=config, near=near, seed=seed)
     return trio.run(run.measure, load, requests, clock=MockClock(autojump_threshold=0.0))
 
 
-_last: dict[str, dict[str, Measured]] = {}
+_last_results: dict[str, dict[str, RunResult]] = {}
 
 
 def run(short: bool) -> list[str]:
     """Measure all loads and check the bounds."""
     lines = ["load  choice  p50 ms  p99 ms  refused  left region"]
     for load in LOADS[:1] if short else LOADS:
-        found = {
+        results = {
             name: measure(load=load, near=near, requests=300 if short else 600)
             for name, near in (("alike", False), ("near", True))
         }
-        _last[load.name] = found
-        assert found["near"].left_region_part < 0.6 * found["alike"].left_region_part, f"{found}"
-        assert found["near"].median_ms < found["alike"].median_ms, f"{found}"
+        _last_results[load.name] = results
+        assert (
+            results["near"].left_region_part < 0.6 * results["alike"].left_region_part
+        ), f"{results}"
+        assert results["near"].median_ms < results["alike"].median_ms, f"{results}"
         lines += [
-            f"{load.name:5} {name:6} {one.median_ms:7.1f} {one.p99_ms:7.1f} {one.refused:8} "
-            f"{one.left_region_part:12.2f}"
-            for name, one in found.items()
+            f"{load.name:5} {name:6} {result.median_ms:7.1f} {result.p99_ms:7.1f} {result.refused:8} "
+            f"{result.left_region_part:12.2f}"
+            for name, result in results.items()
         ]
     return lines
 
@@ -177,8 +179,8 @@
 def figures() -> Mapping[str, Mapping[str, float]]:
     """For the plot."""
     return {
-        f"p99 at load {load}, ms": {name: one.p99_ms for name, one in found.items()}
-        for load, found in _last.items()
+        f"p99 at load {load}, ms": {name: result.p99_ms for name, result in results.items()}
+        for load, results in _last_results.items()
     }
 
 
--- a/bench/lookup.py
+++ b/bench/lookup.py
@@ -22,53 +22,53 @@
 ENTRIES_FULL = 490
 BLOCKS_FULL = 440_000
 BLOCKS_SHORT = 20_000
-BLOCKS_TODAY = 1_000
+BLOCKS_SMALL = 1_000
 CLIENTS = 2_000
 CHANGED = 10
-BLOCKS_AN_OBJECT = 8_700
-MOST_BYTES_AGAINST_DICT = 0.3
-MOST_CHANGE_AGAINST_BUILD = 0.5
-MOST_COST_AGAINST_SMALL_TABLE = 4.0
-_US = 1e6
-_MS = 1e3
+BLOCKS_PER_OBJECT = 8_700
+MAX_BYTES_TO_DICT_RATIO = 0.3
+MAX_CHANGE_TO_BUILD_RATIO = 0.5
+MAX_COST_GROWTH = 4.0
+_US_PER_S = 1e6
+_MS_PER_S = 1e3
 
 _Figures = dict[str, dict[str, float]]
 _last: _Figures = {}
 
 
-def client_blocks(count: int) -> list[ClientBlock]:
+def generate_client_blocks(count: int) -> list[ClientBlock]:
     """Blocks as they come: nine tenths IPv4 of /16 to /26, nested now and then, the rest IPv6."""
-    chance = random.Random(SEED)
-    made: dict[str, ClientBlock] = {}
-    while len(made) < count:
-        region = chance.choice(REGIONS)
-        if chance.random() < 0.9:
-            length = chance.choice((16, 20, 22, 23, 24, 24, 24, 25, 26))
-            number = chance.getrandbits(length) << (32 - length)
-            text = ".".join(str(part) for part in number.to_bytes(4, "big"))
+    rng = random.Random(SEED)
+    blocks_by_network: dict[str, ClientBlock] = {}
+    while len(blocks_by_network) < count:
+        region = rng.choice(REGIONS)
+        if rng.random() < 0.9:
+            length = rng.choice((16, 20, 22, 23, 24, 24, 24, 25, 26))
+            number = rng.getrandbits(length) << (32 - length)
+            text = ".".join(str(octet) for octet in number.to_bytes(4, "big"))
         else:
-            length = chance.choice((32, 40, 48, 48, 56))
-            number = (0x2 << 124 | chance.getrandbits(length) << (128 - length)) % (1 << 128)
+            length = rng.choice((32, 40, 48, 48, 56))
+            number = (0x2 << 124 | rng.getrandbits(length) << (128 - length)) % (1 << 128)
             number = number >> (128 - length) << (128 - length)
             text = ":".join(f"{number >> shift & 0xFFFF:x}" for shift in range(112, -1, -16))
         network = f"{text}/{length}"
-        made[network] = ClientBlock(network, region)
-    return list(made.values())
+        blocks_by_network[network] = ClientBlock(network, region)
+    return list(blocks_by_network.values())
 
 
-def as_objects(blocks: list[ClientBlock]) -> list[RegionBlocks]:
+def split_into_objects(blocks: list[ClientBlock]) -> list[RegionBlocks]:
     """The blocks as they come in the configuration: in objects of one region each."""
     parts = []
     for region in REGIONS:
         networks = tuple(block.network for block in blocks if block.region == region)
-        for begin in range(0, len(networks), BLOCKS_AN_OBJECT):
-            parts.append(RegionBlocks(region, networks[begin : begin + BLOCKS_AN_OBJECT]))
+        for begin in range(0, len(networks), BLOCKS_PER_OBJECT):
+            parts.append(RegionBlocks(region, networks[begin : begin + BLOCKS_PER_OBJECT]))
     return parts
 
 
-def _clients(chance: random.Random) -> list[str]:
+def _clients(rng: random.Random) -> list[str]:
     return [
-        ".".join(str(part) for part in chance.getrandbits(32).to_bytes(4, "big"))
+        ".".join(str(octet) for octet in rng.getrandbits(32).to_bytes(4, "big"))
         for _ in range(CLIENTS)
     ]
 
@@ -94,11 +94,11 @@
     regions = {
         name: Region(
             name,
-            tuple(f"domain-{n}" for n in range(DOMAINS) if n % len(REGIONS) == place),
-            {other: 20.0 + place for other in REGIONS if other != name},
+            tuple(f"domain-{n}" for n in range(DOMAINS) if n % len(REGIONS) == index),
+            {neighbour: 20.0 + index for neighbour in REGIONS if neighbour != name},
             None,
         )
-        for place, name in enumerate(REGIONS)
+        for index, name in enumerate(REGIONS)
     }
     workspace = Workspace("w", "t", (), {}, None)
     return EffectiveConfig(1, regions, {}, {"w": workspace}, {}, {}, tuple(blocks))
@@ -108,18 +108,18 @@
     """Return the shortest of some runs: the others were disturbed."""
     best = float("inf")
     for _ in range(rounds):
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         action()
-        best = min(best, time.perf_counter() - began)
+        best = min(best, time.perf_counter() - started_at)
     return best
 
 
 def _traced_bytes(build: Callable[[], object]) -> int:
     tracemalloc.start()
-    kept = build()
+    built = build()
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del kept
+    del built
     return size
 
 
@@ -134,16 +134,16 @@
             first = int(network.network_address) >> (network.max_prefixlen - network.prefixlen)
             by_length.setdefault(key, {})[first] = block.region
         self._ipv4 = [
-            (32 - length, found)
-            for (version, length), found in sorted(by_length.items(), reverse=True)
+            (32 - length, regions_by_prefix)
+            for (version, length), regions_by_prefix in sorted(by_length.items(), reverse=True)
             if version == 4
         ]
         self._all = by_length
 
     def find(self, address: str) -> str | None:
         number = int.from_bytes(inet_aton(address), "big")
-        for shift, found in self._ipv4:
-            region = found.get(number >> shift)
+        for shift, regions_by_prefix in self._ipv4:
+            region = regions_by_prefix.get(number >> shift)
             if region is not None:
                 return region
         return None
@@ -166,10 +166,10 @@
 
 
 def _measure(count: int) -> dict[str, float]:
-    blocks = client_blocks(count)
+    blocks = generate_client_blocks(count)
     config = _config(blocks)
     clients = _clients(random.Random(SEED + 1))
-    parts = as_objects(blocks)
+    parts = split_into_objects(blocks)
     built = ClientBlocks(blocks=BlockList(parts=parts))
     table = LookupTable(config=config, own_failure_domain="domain-0", blocks=built)
     plain = _DictOfPrefixes(blocks=blocks)
@@ -182,18 +182,18 @@
         "ranges": float(len(built)),
         "bytes": float(built.bytes_used),
         "dict_bytes": float(_traced_bytes(partial(_DictOfPrefixes, blocks=blocks))),
-        "dict_us": _best_s(partial(_find_all, plain, clients)) / CLIENTS * _US,
-        "find_us": _best_s(partial(_find_all, built, clients)) / CLIENTS * _US,
-        "answer_us": _best_s(partial(_answer_all, table, clients)) / CLIENTS * _US,
-        "view_ms": _best_s(partial(table.update, entries)) * _MS,
-        "build_ms": build_s * _MS,
-        "change_ms": _best_s(partial(_change, built, parts)) * _MS,
+        "dict_us": _best_s(partial(_find_all, plain, clients)) / CLIENTS * _US_PER_S,
+        "find_us": _best_s(partial(_find_all, built, clients)) / CLIENTS * _US_PER_S,
+        "answer_us": _best_s(partial(_answer_all, table, clients)) / CLIENTS * _US_PER_S,
+        "view_ms": _best_s(partial(table.update, entries)) * _MS_PER_S,
+        "build_ms": build_s * _MS_PER_S,
+        "change_ms": _best_s(partial(_change, built, parts)) * _MS_PER_S,
     }
 
 
 def run(short: bool) -> list[str]:
     """Measure the tables of today's and of the later size."""
-    small = _measure(BLOCKS_TODAY)
+    small = _measure(BLOCKS_SMALL)
     large = _measure(BLOCKS_SHORT if short else BLOCKS_FULL)
     names = list(small)
     lines = [" ".join(f"{name:>11}" for name in names)]
@@ -204,12 +204,14 @@
         f"{row['blocks']:.0f} blocks": row["answer_us"] for row in (small, large)
     }
     _last["bytes"] = {"sorted arrays": large["bytes"], "dict for each length": large["dict_bytes"]}
-    against_dict = large["bytes"] / large["dict_bytes"]
-    assert against_dict <= MOST_BYTES_AGAINST_DICT, f"bytes against a dict: {against_dict:.2f}"
+    dict_ratio = large["bytes"] / large["dict_bytes"]
+    assert dict_ratio <= MAX_BYTES_TO_DICT_RATIO, f"bytes against a dict: {dict_ratio:.2f}"
     growth = large["find_us"] / small["find_us"]
-    assert growth <= MOST_COST_AGAINST_SMALL_TABLE, f"cost against a small table: {growth:.2f}"
-    change = large["change_ms"] / large["build_ms"]
-    assert change <= MOST_CHANGE_AGAINST_BUILD, f"a change against building anew: {change:.2f}"
+    assert growth <= MAX_COST_GROWTH, f"cost against a small table: {growth:.2f}"
+    change_ratio = large["change_ms"] / large["build_ms"]
+    assert (
+        change_ratio <= MAX_CHANGE_TO_BUILD_RATIO
+    ), f"a change against building anew: {change_ratio:.2f}"
     return lines
 
 
--- a/bench/member_group.py
+++ b/bench/member_group.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import Any
 
-LIMIT_S = 60.0
-POLL_S = 0.1
+WAIT_TIMEOUT_S = 60.0
+POLL_INTERVAL_S = 0.1
 
 Reports = dict[str, dict[str, Any]]
 
@@ -77,7 +77,9 @@
 
     def reports(self, *, but: str | None = None) -> Reports:
         """Return the reports of all instances, but of a frozen one."""
-        processes = {one: process for one, process in self._processes.items() if one != but}
+        processes = {
+            address: process for address, process in self._processes.items() if address != but
+        }
         for address in processes:
             self.command(address, "report")
         reports = {}
@@ -88,20 +90,22 @@
 
     def until(self, condition: Callable[[Reports], bool], *, but: str | None = None) -> Reports:
         """Wait until a condition holds for the reports; return them."""
-        ends_at = time.monotonic() + LIMIT_S
+        ends_at = time.monotonic() + WAIT_TIMEOUT_S
         while time.monotonic() < ends_at:
             reports = self.reports(but=but)
             if condition(reports):
                 return reports
-            time.sleep(POLL_S)
-        raise AssertionError(f"not so after {LIMIT_S} s with {len(self._processes)} instances")
+            time.sleep(POLL_INTERVAL_S)
+        raise AssertionError(
+            f"not so after {WAIT_TIMEOUT_S} s with {len(self._processes)} instances"
+        )
 
     def until_seen(self, key: str) -> float:
         """Wait until all instances saw something; return when the last one did."""
-        reports = self.until(lambda now: all(key in one["seen"] for one in now.values()))
-        return max(float(one["seen"][key]) for one in reports.values())
+        reports = self.until(lambda now: all(key in address["seen"] for address in now.values()))
+        return max(float(address["seen"][key]) for address in reports.values())
 
     def until_all_live(self) -> Reports:
         """Wait until all see all."""
         live = dict.fromkeys(self.addresses, "live")
-        return self.until(lambda now: all(one["states"] == live for one in now.values()))
+        return self.until(lambda now: all(address["states"] == live for address in now.values()))
--- a/bench/member_process.py
+++ b/bench/member_process.py
@@ -56,7 +56,7 @@
         )
         self.spread = ConfigSpread(peers=self.peers, membership=self.membership, random=random)
         self.spread.on_snapshot(self._enforce)
-        self.membership.on_change(self._note)
+        self.membership.on_change(self._record_states)
         self.seen: dict[str, float] = {}
         self.membership.publish(state="live")
 
@@ -85,7 +85,9 @@
             "rss_kb": _rss_kb(),
             "states": {member.address: member.state for member in self.membership.members()},
             "seen": self.seen,
-            "incarnations": {one.address: one.incarnation for one in self.membership.members()},
+            "incarnations": {
+                member.address: member.incarnation for member in self.membership.members()
+            },
             "version": snapshot.change.version if snapshot is not None else 0,
         }
 
@@ -93,7 +95,7 @@
         self.seen.setdefault(f"has {snapshot.change.version}", time.monotonic())
         self.membership.publish(config_version=snapshot.change.version)
 
-    def _note(self) -> None:
+    def _record_states(self) -> None:
         now = time.monotonic()
         members = self.membership.members()
         for member in members:
@@ -107,11 +109,11 @@
         return next(int(line.split()[1]) for line in status if line.startswith("VmRSS"))
 
 
-async def _obey(instance: BenchInstance, scope: trio.CancelScope) -> None:
+async def _serve_commands(instance: BenchInstance, scope: trio.CancelScope) -> None:
     commands = trio.lowlevel.FdStream(os.dup(sys.stdin.fileno()))
-    rest = b""
+    buffer = b""
     async for chunk in commands:
-        *lines, rest = (rest + chunk).split(b"\n")
+        *lines, buffer = (buffer + chunk).split(b"\n")
         for line in lines:
             match line.decode().split():
                 case ["report"]:
@@ -138,7 +140,7 @@
         nursery.start_soon(instance.peers.run)
         nursery.start_soon(instance.membership.run)
         nursery.start_soon(instance.spread.run)
-        nursery.start_soon(_obey, instance, nursery.cancel_scope)
+        nursery.start_soon(_serve_commands, instance, nursery.cancel_scope)
 
 
 if __name__ == "__main__":
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -11,11 +11,11 @@
 
 from bench.member_group import ProcessGroup
 
-MOST_GROWTH_9_TO_30 = 1.5
+MAX_GROWTH_9_TO_30 = 1.5
 CHANGES = 4
-CHANGE_EVERY_S = 1.5
-SETTLE_S = 3.0
-PATIENT = {"reply_timeout_s": 2.0}
+CHANGE_INTERVAL_S = 1.5
+SETTLE_DELAY_S = 3.0
+SHORT_RUN_SETTINGS = {"reply_timeout_s": 2.0}
 """For the short run, which shares its machine: a slow answer there is no sign of a dead instance,
 and suspicions would add traffic that has nothing to do with the number of instances."""
 HEADER_BYTES = 8 + 52 + 52
@@ -29,7 +29,7 @@
     seconds: float
     messages_s: float
     bytes_s: float
-    core: float
+    core_fraction: float
     rss_mb: float
     threads: int
     links: float
@@ -47,10 +47,10 @@
 class Spread(NamedTuple):
     """Seconds until all instances knew."""
 
-    config_has: float
-    config_reported: float
-    leave: float
-    death: float
+    config_received_s: float
+    config_reported_s: float
+    leave_s: float
+    death_s: float
 
 
 class Figures(NamedTuple):
@@ -61,7 +61,7 @@
     spread: Spread
 
 
-def _total(report: dict[str, Any], index: int) -> int:
+def _sum_sent(report: dict[str, Any], index: int) -> int:
     return sum(int(traffic[index]) for traffic in report["sent"].values())
 
 
@@ -75,18 +75,20 @@
     work()
     after = group.reports()
     count = len(before)
-    seconds = sum(after[one]["at"] - before[one]["at"] for one in before)
+    seconds = sum(after[address]["at"] - before[address]["at"] for address in before)
 
     def rate(reading: Callable[[dict[str, Any]], float]) -> float:
-        return float(sum(reading(after[one]) - reading(before[one]) for one in before) / seconds)
+        return float(
+            sum(reading(after[address]) - reading(before[address]) for address in before) / seconds
+        )
 
     kinds = {kind for report in after.values() for kind in report["sent"]}
     return Cost(
         instances=count,
         seconds=seconds / count,
-        messages_s=rate(lambda report: _total(report, 0)),
-        bytes_s=rate(lambda report: _total(report, 1)),
-        core=rate(lambda report: float(report["processor_s"])),
+        messages_s=rate(lambda report: _sum_sent(report, 0)),
+        bytes_s=rate(lambda report: _sum_sent(report, 1)),
+        core_fraction=rate(lambda report: float(report["processor_s"])),
         rss_mb=max(report["rss_kb"] for report in after.values()) / 1024,
         threads=max(report["threads"] for report in after.values()),
         links=sum(report["links"] for report in after.values()) / count,
@@ -97,7 +99,7 @@
 def _change_config(group: ProcessGroup) -> None:
     for version in range(2, 2 + CHANGES):
         group.command(group.addresses[version % len(group.addresses)], f"offer {version}")
-        time.sleep(CHANGE_EVERY_S)
+        time.sleep(CHANGE_INTERVAL_S)
 
 
 def _cost_of_change(idle: Cost, busy: Cost) -> Change:
@@ -109,16 +111,16 @@
     return Change(
         messages=extra(busy.messages_s, idle.messages_s),
         bytes=extra(busy.bytes_s, idle.bytes_s),
-        processor_ms=extra(busy.core, idle.core) * 1000,
+        processor_ms=extra(busy.core_fraction, idle.core_fraction) * 1000,
     )
 
 
 def _measure_spread(group: ProcessGroup) -> Spread:
-    teller, leaver, victim = group.addresses[0], group.addresses[1], group.addresses[2]
+    publisher, leaver, victim = group.addresses[0], group.addresses[1], group.addresses[2]
     time.sleep(1)
     newest = 2 + CHANGES
     started_at = time.monotonic()
-    group.command(teller, f"offer {newest}")
+    group.command(publisher, f"offer {newest}")
     reported_at = group.until_seen(f"all enforce {newest}")
     has_at = group.until_seen(f"has {newest}")
     left_at = time.monotonic()
@@ -135,21 +137,21 @@
         group.until_all_live()
         group.command(group.addresses[0], "offer 1")
         group.until_seen("all enforce 1")
-        time.sleep(SETTLE_S)
+        time.sleep(SETTLE_DELAY_S)
         idle = _measure_cost(group, lambda: time.sleep(window_s))
         busy = _measure_cost(group, lambda: _change_config(group))
         return Figures(idle, _cost_of_change(idle, busy), _measure_spread(group))
 
 
-def _row(figures: Figures) -> str:
+def _format_row(figures: Figures) -> str:
     idle, change, spread = figures
-    on_wire = idle.bytes_s + idle.messages_s * HEADER_BYTES
+    wire_bytes_s = idle.bytes_s + idle.messages_s * HEADER_BYTES
     return (
-        f"{idle.instances:9d} {idle.messages_s:7.1f} {idle.bytes_s:8.0f} {on_wire:8.0f}"
-        f" {idle.core:7.2%} {idle.rss_mb:5.1f} {idle.threads:4d} {idle.links:5.1f}"
+        f"{idle.instances:9d} {idle.messages_s:7.1f} {idle.bytes_s:8.0f} {wire_bytes_s:8.0f}"
+        f" {idle.core_fraction:7.2%} {idle.rss_mb:5.1f} {idle.threads:4d} {idle.links:5.1f}"
         f" {change.messages:8.1f} {change.bytes:8.0f} {change.processor_ms:7.1f}"
-        f" {spread.config_has:6.2f} {spread.config_reported:6.2f}"
-        f" {spread.leave:6.2f} {spread.death:6.2f}"
+        f" {spread.config_received_s:6.2f} {spread.config_reported_s:6.2f}"
+        f" {spread.leave_s:6.2f} {spread.death_s:6.2f}"
     )
 
 
@@ -166,7 +168,7 @@
     all_figures = {}
     for count in counts:
         all_figures[count] = _measure(count, window_s=window_s, settings=settings or {})
-        lines.append(_row(all_figures[count]))
+        lines.append(_format_row(all_figures[count]))
     lines.append(f"* estimated: {HEADER_BYTES} bytes of headers and acknowledgement a message")
     for count, figures in all_figures.items():
         kinds = figures.idle.by_kind.items()
@@ -182,12 +184,12 @@
         AssertionError: What an idle instance sends grows with the number of instances.
     """
     if short:
-        figures, lines = measure_all((9, 30), window_s=5.0, settings=PATIENT)
+        figures, lines = measure_all((9, 30), window_s=5.0, settings=SHORT_RUN_SETTINGS)
     else:
         figures, lines = measure_all((3, 9, 30, 60), window_s=20.0)
     growth = figures[30].idle.bytes_s / figures[9].idle.bytes_s
-    lines.append(f"growth of bytes/s from 9 to 30: {growth:.2f}, at most {MOST_GROWTH_9_TO_30}")
-    assert growth <= MOST_GROWTH_9_TO_30, lines[-1]
+    lines.append(f"growth of bytes/s from 9 to 30: {growth:.2f}, at most {MAX_GROWTH_9_TO_30}")
+    assert growth <= MAX_GROWTH_9_TO_30, lines[-1]
     return lines
 
 
--- a/bench/moves.py
+++ b/bench/moves.py
@@ -33,13 +33,13 @@
 from wagtailpoint.ports.peers import PeerAddress
 
 INSTANCES = 3
-SERVICE_S = 0.050
+MEAN_SERVICE_S = 0.050
 COLD_FACTOR = 5.0
 SLOTS = 3
-THINGS = 100
-RATE = 200.0
+OBJECTS = 100
+ARRIVAL_RPS = 200.0
 TIMEOUT_S = 2.0
-NEWS_S = 0.5
+MESSAGE_INTERVAL_S = 0.5
 LEASE_S = 4.0
 STEPS = (0.05, 0.15, 0.3, 0.5, 0.75, 1.0)
 
@@ -50,7 +50,7 @@
 }
 
 
-class Measured(NamedTuple):
+class RunResult(NamedTuple):
     """What the callers and the receiving side saw.
 
     Attributes:
@@ -64,7 +64,7 @@
     median_ms: float
     p99_ms: float
     refused: int
-    most_in_a_second: int
+    max_per_second: int
     step: int
 
 
@@ -77,19 +77,19 @@
         self._cached: set[tuple[BackendServer, int]] = set()
         self.arrivals: list[float] = []
 
-    def warm(self, servers: tuple[BackendServer, ...]) -> None:
+    def fill_caches(self, servers: tuple[BackendServer, ...]) -> None:
         """Fill the caches."""
-        self._cached |= {(server, thing) for server in servers for thing in range(THINGS)}
+        self._cached |= {(server, key) for server in servers for key in range(OBJECTS)}
 
-    async def serve(self, server: BackendServer, thing: int, *, receiving: bool) -> None:
+    async def serve(self, server: BackendServer, key: int, *, receiving: bool) -> None:
         """Run one request."""
         if receiving:
             self.arrivals.append(trio.current_time())
-        cold = (server, thing) not in self._cached
-        self._cached.add((server, thing))
+        cold = (server, key) not in self._cached
+        self._cached.add((server, key))
         async with self._slots.setdefault(server, trio.Semaphore(SLOTS)):
             factor = COLD_FACTOR if cold else 1.0
-            await trio.sleep(factor * self._random.expovariate(1 / SERVICE_S))
+            await trio.sleep(factor * self._random.expovariate(1 / MEAN_SERVICE_S))
 
 
 class _Instance:
@@ -139,52 +139,52 @@
         ]
         groups = self._instances[0].config.services["desk"].groups
         self._receiving = frozenset(groups["new"])
-        self._backends.warm(groups["old"])
+        self._backends.fill_caches(groups["old"])
         self._latencies: list[float] = []
         self._refused = 0
 
-    async def measure(self, seconds: float) -> Measured:
+    async def measure(self, seconds: float) -> RunResult:
         """Run the load for so long."""
         async with trio.open_nursery() as nursery:
             for instance in self._instances:
                 nursery.start_soon(partial(instance.writer.run, interval_s=0.5))
-            nursery.start_soon(self._spread_news)
+            nursery.start_soon(self._exchange_messages)
             async with trio.open_nursery() as requests:
-                for _ in range(int(seconds * RATE)):
+                for _ in range(int(seconds * ARRIVAL_RPS)):
                     requests.start_soon(self._request, self._random.choice(self._instances))
-                    await trio.sleep(self._random.expovariate(RATE))
+                    await trio.sleep(self._random.expovariate(ARRIVAL_RPS))
             nursery.cancel_scope.cancel()
-        known = self._instances[0].board.progresses["shift"]
-        return Measured(
+        progress = self._instances[0].board.progresses["shift"]
+        return RunResult(
             1000 * median(self._latencies),
             1000 * quantiles(self._latencies, n=100)[98],
             self._refused,
-            most_in_a_second(self._backends.arrivals),
-            known.step,
+            max_per_second(self._backends.arrivals),
+            progress.step,
         )
 
-    async def _spread_news(self) -> None:
+    async def _exchange_messages(self) -> None:
         """What the messages between instances do, late by up to ``NEWS_S``."""
         while True:
-            await trio.sleep(NEWS_S)
-            for each in self._instances:
-                for other in self._instances:
-                    self._tell(each, other)
-
-    def _tell(self, each: _Instance, other: _Instance) -> None:
-        for name, progress in each.board.progresses.items():
-            other.board.apply_progress(progress)
-            if other.address == progress.writer and each is not other:
-                other.board.apply_report(
-                    sender=each.address.address,
+            await trio.sleep(MESSAGE_INTERVAL_S)
+            for sender in self._instances:
+                for receiver in self._instances:
+                    self._deliver(sender, receiver)
+
+    def _deliver(self, sender: _Instance, receiver: _Instance) -> None:
+        for name, progress in sender.board.progresses.items():
+            receiver.board.apply_progress(progress)
+            if receiver.address == progress.writer and sender is not receiver:
+                receiver.board.apply_report(
+                    sender=sender.address.address,
                     move=name,
                     version=progress.version,
-                    evidence=each.board.own_evidence(name),
+                    evidence=sender.board.own_evidence(name),
                 )
 
     async def _request(self, entry: _Instance) -> None:
-        began, thing = trio.current_time(), self._random.randrange(THINGS)
-        plan = small_plan(entry.config, deadline=began + TIMEOUT_S, affinity=str(thing))
+        started_at, key = trio.current_time(), self._random.randrange(OBJECTS)
+        plan = small_plan(entry.config, deadline=started_at + TIMEOUT_S, affinity=str(key))
         choice = entry.servers.choice(plan)
         demand = SlotDemand("desk", choice, plan.policy, plan.deadline)
         admitted = await entry.pool.acquire(demand)
@@ -192,37 +192,37 @@
             self._refused += 1
             return
         slot, sent = admitted.ok_value, trio.current_time()
-        await self._backends.serve(slot.server, thing, receiving=slot.server in self._receiving)
+        await self._backends.serve(slot.server, key, receiving=slot.server in self._receiving)
         entry.pool.release(slot)
         now = trio.current_time()
         entry.servers.record_outcome(slot.server, BackendResponse(200, (), _no_body()), now - sent)
-        self._latencies.append(now - began)
+        self._latencies.append(now - started_at)
 
 
 async def _no_body() -> AsyncIterator[bytes]:
     yield b""
 
 
-def most_in_a_second(times: list[float]) -> int:
+def max_per_second(times: list[float]) -> int:
     """The most events in any window of one second."""
-    most = first = 0
+    max_count = window_start = 0
     for last, time in enumerate(times):
-        while time - times[first] >= 1.0:
-            first += 1
-        most = max(most, last - first + 1)
-    return most
+        while time - times[window_start] >= 1.0:
+            window_start += 1
+        max_count = max(max_count, last - window_start + 1)
+    return max_count
 
 
-def measure(*, move: Move, seconds: float, seed: int = 1) -> Measured:
+def measure(*, move: Move, seconds: float, seed: int = 1) -> RunResult:
     """Run one move under load for so many seconds."""
 
-    async def work() -> Measured:
+    async def run_move() -> RunResult:
         return await _Run(move=move, seed=seed).measure(seconds)
 
-    return trio.run(work, clock=MockClock(autojump_threshold=0.0))
+    return trio.run(run_move, clock=MockClock(autojump_threshold=0.0))
 
 
-_last: dict[str, Measured] = {}
+_last_results: dict[str, RunResult] = {}
 
 
 def run(short: bool) -> list[str]:
@@ -230,21 +230,25 @@
     seconds = 15.0 if short else 40.0
     lines = ["move              p50 ms  p99 ms  refused  most in 1 s  last step"]
     for name, move in MOVES.items():
-        found = _last[name] = measure(move=move, seconds=seconds)
-        assert found.most_in_a_second <= move.cap_rps, f"cap {move.cap_rps:g} exceeded: {found}"
-        assert found.refused == 0, f"refused because of a move: {found}"
+        result = _last_results[name] = measure(move=move, seconds=seconds)
+        assert result.max_per_second <= move.cap_rps, f"cap {move.cap_rps:g} exceeded: {result}"
+        assert result.refused == 0, f"refused because of a move: {result}"
         lines.append(
-            f"{name:16} {found.median_ms:7.1f} {found.p99_ms:7.1f} {found.refused:8} "
-            f"{found.most_in_a_second:12} {found.step:10}"
+            f"{name:16} {result.median_ms:7.1f} {result.p99_ms:7.1f} {result.refused:8} "
+            f"{result.max_per_second:12} {result.step:10}"
         )
-    most_ms = 0.8 * _last["at once"].p99_ms
-    assert _last["in steps"].p99_ms < most_ms, f"p99 in steps over {most_ms:.0f} ms: {_last}"
+    max_p99_ms = 0.8 * _last_results["at once"].p99_ms
+    assert (
+        _last_results["in steps"].p99_ms < max_p99_ms
+    ), f"p99 in steps over {max_p99_ms:.0f} ms: {_last_results}"
     return lines
 
 
 def figures() -> Mapping[str, Mapping[str, float]]:
     """For the plot."""
-    return {"p99 during a move, ms": {name: found.p99_ms for name, found in _last.items()}}
+    return {
+        "p99 during a move, ms": {name: result.p99_ms for name, result in _last_results.items()}
+    }
 
 
 if __name__ == "__main__":
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -18,7 +18,7 @@
 import click
 
 from bench.system_model import (
-    MOST_SHIFT,
+    MAX_SHIFT_FRACTION,
     Deployment,
     Fault,
     Outcome,
@@ -32,8 +32,8 @@
 
 SHORT_S = 8.0
 FULL_S = 24.0
-LEAST_WORTH = 0.85
-LEAST_DOMAIN = 0.75
+MIN_WORTH = 0.85
+MIN_DOMAIN_WORTH = 0.75
 """Bounds against a fall; over 12 s with two seeds 0.935 and 0.915 or more were measured."""
 
 SURAKKHA = Deployment(
@@ -71,7 +71,7 @@
             "city-centre": 3,
         },
     },
-    cache={"deposit-desk": 43, "records-vault": 50},
+    cache_size={"deposit-desk": 43, "records-vault": 50},
     slots={"deposit-desk": 3, "records-vault": 3},
     in_region_s=0.0018,
     between_regions_s=0.11,
@@ -99,7 +99,7 @@
         "stay-desk": {"inv-a": 5, "inv-b": 5, "edi-a": 6, "edi-b": 6, "sty-a": 1, "sty-b": 1},
         "visitor-hub": {"inv-a": 2, "inv-b": 2, "edi-a": 3, "edi-b": 3, "sty-a": 1, "sty-b": 1},
     },
-    cache={"stay-desk": 44, "visitor-hub": 50},
+    cache_size={"stay-desk": 44, "visitor-hub": 50},
     slots={"stay-desk": 3, "visitor-hub": 3},
     in_region_s=0.001,
     between_regions_s=0.04,
@@ -129,7 +129,7 @@
         "deliveries": _by_domain(1, 1, 2, 2, 3, 3),
         "dosage": _by_domain(1, 1, 2, 2, 3, 3),
     },
-    cache={"catalogue": 73, "plans": 38, "deliveries": 28, "dosage": 25},
+    cache_size={"catalogue": 73, "plans": 38, "deliveries": 28, "dosage": 25},
     slots={"catalogue": 4, "plans": 3, "deliveries": 4, "dosage": 3},
     in_region_s=0.001,
     between_regions_s=0.07,
@@ -142,7 +142,7 @@
         RequestClass("dosage", "dosage", 9.0, 0.096, 0.15, 0.5, 2.0, 24, 1500, 1),
     ),
     swing=0.55,
-    own_keys=True,
+    keys_per_region=True,
 )
 VITAMINS_LOADED = VITAMINS._replace(load=2.3)
 VITAMINS_OVERLOADED = VITAMINS._replace(load=3.2)
@@ -166,7 +166,7 @@
     region_of={domain: _LARGE_REGIONS[n // 3] for n, domain in enumerate(_LARGE_DOMAINS)},
     instances=_by_region(3, 3, 3),
     servers={"deposit-desk": _by_region(12, 49, 58), "records-vault": _by_region(2, 6, 8)},
-    cache={"deposit-desk": 11, "records-vault": 23},
+    cache_size={"deposit-desk": 11, "records-vault": 23},
     slots={"deposit-desk": 3, "records-vault": 3},
     in_region_s=0.0028,
     between_regions_s=0.11,
@@ -179,7 +179,7 @@
         RequestClass("lookup", "records-vault", 19.0, 0.475, 0.4, 2.0, 2.0, 79, 1500, 1),
     ),
     swing=0.55,
-    own_keys=True,
+    keys_per_region=True,
 )
 LARGE_SPREAD = LARGE._replace(instances=_by_region(25, 20, 21))
 """Hundreds of backend servers that remember few objects each: behind three entries in each failure
@@ -205,7 +205,7 @@
             "city-centre": 6,
         },
     },
-    cache={"deposit-desk": 14, "records-vault": 37},
+    cache_size={"deposit-desk": 14, "records-vault": 37},
     slots={"deposit-desk": 6, "records-vault": 6},
     classes=(
         RequestClass("balance", "deposit-desk", 50.0, 1.4, 1.112, 3.0, 1.0, 149, 5000, 2),
@@ -241,16 +241,16 @@
 FAULTS = (Fault(10.0, 4.0, "gal-b"), Fault(18.0))
 """A failure domain loses its backend servers, and gets them back empty; all instances restart."""
 
-_last: dict[str, Sequence[Outcome]] = {}
+_last_outcomes: dict[str, Sequence[Outcome]] = {}
 
 
-def play(
+def simulate(
     name: str, *, seconds: float, seed: int = 1, faults: Sequence[Fault] = ()
 ) -> Sequence[Outcome]:
     """Play one deployment and remember what came of it, for the plot."""
     model = SystemModel(deployment=ALL_DEPLOYMENTS[name], seed=seed, faults=faults)
-    outcomes = model.play(seconds)
-    _last[name] = outcomes
+    outcomes = model.simulate(seconds)
+    _last_outcomes[name] = outcomes
     return outcomes
 
 
@@ -277,14 +277,16 @@
     """Play both deployments and check the bounds."""
     lines = []
     for name, deployment in DEPLOYMENTS.items():
-        outcomes = play(name, seconds=SHORT_S if short else FULL_S)
+        outcomes = simulate(name, seconds=SHORT_S if short else FULL_S)
         lines += describe(name, outcomes)
-        warm = [each for each in outcomes if each.began >= SHORT_S / 2]
-        least = min(worth_by(warm, "domain").values())
-        assert worth(warm) >= LEAST_WORTH, f"{name}: worth {worth(warm):.3f}"
-        assert least >= LEAST_DOMAIN, f"{name}: worst failure domain {least:.3f}"
-        shift = largest_shift(warm, deployment.region_of)
-        assert shift <= 2 * MOST_SHIFT, f"{name}: {shift:.2f} of a region's requests moved"
+        warm_outcomes = [each for each in outcomes if each.began >= SHORT_S / 2]
+        min_domain_worth = min(worth_by(warm_outcomes, "domain").values())
+        assert worth(warm_outcomes) >= MIN_WORTH, f"{name}: worth {worth(warm_outcomes):.3f}"
+        assert (
+            min_domain_worth >= MIN_DOMAIN_WORTH
+        ), f"{name}: worst failure domain {min_domain_worth:.3f}"
+        shift = largest_shift(warm_outcomes, deployment.region_of)
+        assert shift <= 2 * MAX_SHIFT_FRACTION, f"{name}: {shift:.2f} of a region's requests moved"
     return lines
 
 
@@ -292,7 +294,7 @@
     """For the plot: worth by failure domain, by class and by second."""
     return {
         f"{name}: worth by {title}": worth_by(outcomes, field)
-        for name, outcomes in _last.items()
+        for name, outcomes in _last_outcomes.items()
         for title, field in (("domain", "domain"), ("class", "name"), ("second", "began"))
     }
 
@@ -316,19 +318,21 @@
     """Play both deployments, with some constants replaced."""
     with ExitStack() as stack:
         for change in changes:
-            place, _, number = change.partition("=")
-            module_name, _, constant = place.rpartition(".")
+            constant_path, _, number = change.partition("=")
+            module_name, _, constant = constant_path.rpartition(".")
             module = importlib.import_module(f"wagtailpoint.placement.{module_name}")
             if not hasattr(module, constant):
-                raise click.BadParameter(f"given {place}, expected a constant of that module")
+                raise click.BadParameter(
+                    f"given {constant_path}, expected a constant of that module"
+                )
             stack.enter_context(patch.object(module, constant, float(number)))
         for name in only or ALL_DEPLOYMENTS:
-            outcomes = play(name, seconds=seconds, seed=seed, faults=FAULTS if faults else ())
+            outcomes = simulate(name, seconds=seconds, seed=seed, faults=FAULTS if faults else ())
             click.echo("\n".join(describe(name, outcomes)))
     if plot is not None:
-        from bench.run import draw
+        from bench.run import write_plot
 
-        draw(figures(), plot)
+        write_plot(figures(), plot)
 
 
 if __name__ == "__main__":
--- a/bench/rounds.py
+++ b/bench/rounds.py
@@ -66,28 +66,28 @@
 def read_report(path: Path) -> Report:
     """Read the report of one day."""
     document: dict[str, Any] = msgspec.json.decode(path.read_bytes())
-    everything = document["all"]
-    asked = max(1, everything["n"])
+    totals = document["all"]
+    sent = max(1, totals["n"])
     parts = {name: value for name, _weight, value in document["parts"]}
-    parts["in time"] = everything["in_aim"] / asked
-    parts["late"] = everything["late"] / asked
-    parts["refused"] = everything["refused"] / asked
-    parts["failed"] = everything["failed"] / asked
+    parts["in time"] = totals["in_aim"] / sent
+    parts["late"] = totals["late"] / sent
+    parts["refused"] = totals["refused"] / sent
+    parts["failed"] = totals["failed"] / sent
     prices = {name: loss for name, _amount, loss in document["prices"]}
     parts["prices"] = sum(prices.values())
     for name, loss in prices.items():
         if loss >= 0.003:
             parts[f"  {name}"] = loss
 
-    def worths(group: str) -> dict[str, float]:
+    def worth_by_name(group: str) -> dict[str, float]:
         return {each["name"]: each["worth"] for each in document[group]}
 
     return Report(
         document["G"],
         parts,
-        worths("classes"),
-        worths("zones"),
-        worths("windows"),
+        worth_by_name("classes"),
+        worth_by_name("zones"),
+        worth_by_name("windows"),
         sorted(document["breaks"]),
     )
 
@@ -101,7 +101,7 @@
     return found
 
 
-def means(reports: Iterable[Report], group: str) -> dict[str, float]:
+def compute_means(reports: Iterable[Report], group: str) -> dict[str, float]:
     """The means over several days of one group of values."""
     values: dict[str, list[float]] = defaultdict(list)
     for report in reports:
@@ -117,13 +117,13 @@
         by_day[play.day].append(report)
     lines = []
     for day, reports in by_day.items():
-        worths = [report.worth for report in reports]
-        spread = stdev(worths) if len(worths) > 1 else 0.0
-        each = " ".join(f"{worth:.3f}" for worth in worths)
-        lines.append(f"{day:28} worth {mean(worths):.3f} spread {spread:.3f}  ({each})")
+        worth_by_name = [report.worth for report in reports]
+        spread = stdev(worth_by_name) if len(worth_by_name) > 1 else 0.0
+        each = " ".join(f"{worth:.3f}" for worth in worth_by_name)
+        lines.append(f"{day:28} worth {mean(worth_by_name):.3f} spread {spread:.3f}  ({each})")
     lines.append(f"{'mean of all':28} worth {mean(r.worth for r in plays.values()):.3f}")
     for group in ("parts", "by_class", "by_domain"):
-        for name, value in means(plays.values(), group).items():
+        for name, value in compute_means(plays.values(), group).items():
             lines.append(f"    {name:24} {value:.3f}")
     for play, report in plays.items():
         if report.broken:
@@ -148,8 +148,8 @@
         f"(standard error {error:.4f}, {len(common)} plays)"
     )
     for group in ("parts", "by_class", "by_domain"):
-        was_all = means((before[play] for play in common), group)
-        now_all = means((after[play] for play in common), group)
+        was_all = compute_means((before[play] for play in common), group)
+        now_all = compute_means((after[play] for play in common), group)
         for name, now in now_all.items():
             was = was_all.get(name, 0.0)
             lines.append(f"    {name:24} {was:.3f} -> {now:.3f}  {now - was:+.3f}")
@@ -239,7 +239,7 @@
     for axis, day in zip(axes[:, 0], days, strict=True):
         for name, found in rounds.items():
             reports = [report for play, report in found.items() if play.day == day]
-            windows = means(reports, "by_window")
+            windows = compute_means(reports, "by_window")
             seconds = sorted(windows, key=float)
             axis.plot([float(at) for at in seconds], [windows[at] for at in seconds], label=name)
         axis.set_title(day, fontsize=9)
--- a/bench/run.py
+++ b/bench/run.py
@@ -34,7 +34,7 @@
 Figures = Mapping[str, Mapping[str, float]]
 
 
-class Measured(NamedTuple):
+class ModuleResult(NamedTuple):
     """What became of one module.
 
     Attributes:
@@ -62,9 +62,9 @@
     return [module for module in found if hasattr(module, "run")]
 
 
-def measure(module: ModuleType, *, short: bool) -> Measured:
+def measure(module: ModuleType, *, short: bool) -> ModuleResult:
     """Run one module; a broken bound is reported, not raised, so that the others run too."""
-    began = time.monotonic()
+    started_at = time.monotonic()
     lines: list[str] = []
     broken = None
     try:
@@ -73,19 +73,19 @@
         broken = str(error) or repr(error)
     figures = module.figures() if hasattr(module, "figures") else {}
     name = module.__name__.rpartition(".")[2]
-    return Measured(name, lines, figures, time.monotonic() - began, broken)
+    return ModuleResult(name, lines, figures, time.monotonic() - started_at, broken)
 
 
-def write_results(measured: Measured, directory: Path) -> None:
+def write_results(result: ModuleResult, directory: Path) -> None:
     """Write what one module measured: its table and figures as JSON, and a plot if it has any."""
     directory.mkdir(exist_ok=True)
-    text = json.dumps(measured._asdict(), indent=2)
-    (directory / f"{measured.name}.json").write_text(text + "\n")
-    if measured.figures:
-        draw(measured.figures, directory / f"{measured.name}.png")
+    text = json.dumps(result._asdict(), indent=2)
+    (directory / f"{result.name}.json").write_text(text + "\n")
+    if result.figures:
+        write_plot(result.figures, directory / f"{result.name}.png")
 
 
-def draw(panels: Figures, path: Path) -> None:
+def write_plot(panels: Figures, path: Path) -> None:
     """Write a plot with a panel of bars for each group of figures."""
     # Imported late: it takes a second, which the short bench need not spend.
     from matplotlib.figure import Figure
@@ -111,14 +111,14 @@
     short = list(arguments) == ["short"]
     exit_code = 0
     for module in find_modules():
-        measured = measure(module, short=short)
-        print(f"--- bench {measured.name} ({measured.took_s:.1f} s)")
-        print("\n".join(measured.lines))
-        if measured.broken is not None:
-            print(f"BROKEN BOUND in bench {measured.name}: {measured.broken}")
+        result = measure(module, short=short)
+        print(f"--- bench {result.name} ({result.took_s:.1f} s)")
+        print("\n".join(result.lines))
+        if result.broken is not None:
+            print(f"BROKEN BOUND in bench {result.name}: {result.broken}")
             exit_code = 1
         if not short:
-            write_results(measured, RESULTS)
+            write_results(result, RESULTS)
     return exit_code
 
 
--- a/bench/system_model.py
+++ b/bench/system_model.py
@@ -30,12 +30,12 @@
 from wagtailpoint.ports.backend import BackendAddress
 from wagtailpoint.routing.table import HostRoute, RouteKind, SplitPart
 
-LATE_VALUE = 0.2
-COME_BACK_S = 0.2
-CACHED_FACTOR = 0.3
-SERVICE_SPREAD = 0.15
-QUEUE = 9
-MOST_SHIFT = 0.15
+LATE_VALUE_FRACTION = 0.2
+RETRY_DELAY_S = 0.2
+CACHED_WORK_FACTOR = 0.3
+SERVICE_TIME_DEVIATION = 0.15
+MAX_QUEUED = 9
+MAX_SHIFT_FRACTION = 0.15
 WINDOW_S = 2.0
 SWING_PERIOD_S = 36.0
 HEADER_BYTES = 900
@@ -92,7 +92,7 @@
     region_of: Mapping[str, str]
     instances: Mapping[str, int]
     servers: Mapping[str, Mapping[str, int]]
-    cache: Mapping[str, int]
+    cache_size: Mapping[str, int]
     slots: Mapping[str, int]
     in_region_s: float
     between_regions_s: float
@@ -101,28 +101,28 @@
     classes: Sequence[RequestClass]
     load: float = 1.0
     swing: float = 0.0
-    own_keys: bool = False
+    keys_per_region: bool = False
 
-    def rate(self, sent: RequestClass, domain: str, now: float) -> float:
+    def rate(self, request_class: RequestClass, domain: str, now: float) -> float:
         """Requests a second that the callers of a failure domain send."""
         regions = sorted(set(self.region_of.values()))
         phase = regions.index(self.region_of[domain]) / len(regions)
         wave = 1.0 + self.swing * math.sin(2 * math.pi * (now / SWING_PERIOD_S + phase))
-        return sent.rate * self.load * wave
+        return request_class.rate * self.load * wave
 
-    def price(self, one: str, other: str, reply_bytes: float) -> float:
+    def price(self, origin: str, destination: str, reply_bytes: float) -> float:
         """What the bytes of a request and its reply cost."""
-        if one == other:
+        if origin == destination:
             return 0.0
-        same = self.region_of[one] == self.region_of[other]
+        same = self.region_of[origin] == self.region_of[destination]
         per_gb = self.domain_price if same else self.region_price
         return per_gb * (reply_bytes + HEADER_BYTES) / 1e9
 
-    def round_trip_s(self, one: str, other: str) -> float:
+    def round_trip_s(self, origin: str, destination: str) -> float:
         """The way from one failure domain to another one and back, in seconds."""
-        if one == other:
+        if origin == destination:
             return 0.0004
-        same = self.region_of[one] == self.region_of[other]
+        same = self.region_of[origin] == self.region_of[destination]
         return self.in_region_s if same else self.between_regions_s
 
 
@@ -137,7 +137,7 @@
     """
 
     at_s: float
-    for_s: float = 0.0
+    duration_s: float = 0.0
     domain: str = ""
 
 
@@ -168,11 +168,11 @@
 class ModelServer:
     """One backend server: slots, a short queue, a cache of objects."""
 
-    def __init__(self, *, entry: ServerEntry, cache: int, random: Random) -> None:
+    def __init__(self, *, entry: ServerEntry, cache_size: int, random: Random) -> None:
         self.entry = entry
         self._slot = trio.Semaphore(entry.slots)
         self._cache: OrderedDict[str, None] = OrderedDict()
-        self._most_cached = cache
+        self._cache_size = cache_size
         self._random = random
         self._running = 0
         self._waiting = 0
@@ -182,13 +182,13 @@
         """What it tells with an answer."""
         return LoadReport(self._running, self._waiting, self.entry.slots)
 
-    async def serve(self, key: str, work_s: float, left_s: float) -> bool:
+    async def serve(self, key: str, work_s: float, remaining_s: float) -> bool:
         """Run a request; False if the queue is full or its time is over."""
-        if self._waiting >= QUEUE:
+        if self._waiting >= MAX_QUEUED:
             return False
         self._waiting += 1
         try:
-            with trio.move_on_after(left_s) as scope:
+            with trio.move_on_after(remaining_s) as scope:
                 await self._slot.acquire()
         finally:
             self._waiting -= 1
@@ -206,10 +206,10 @@
         cached = key in self._cache
         self._cache[key] = None
         self._cache.move_to_end(key)
-        if len(self._cache) > self._most_cached:
+        if len(self._cache) > self._cache_size:
             self._cache.popitem(last=False)
-        factor = max(0.3, self._random.gauss(1.0, SERVICE_SPREAD))
-        return work_s * factor * (CACHED_FACTOR if cached else 1.0)
+        factor = max(0.3, self._random.gauss(1.0, SERVICE_TIME_DEVIATION))
+        return work_s * factor * (CACHED_WORK_FACTOR if cached else 1.0)
 
 
 class SystemModel:
@@ -230,17 +230,17 @@
         self._servers: dict[str, ModelServer] = {}
         self.outcomes: list[Outcome] = []
 
-    def play(self, seconds: float) -> Sequence[Outcome]:
+    def simulate(self, seconds: float) -> Sequence[Outcome]:
         """Play so many seconds of load and return what became of the requests."""
         logger.disable("wagtailpoint")
         try:
-            trio.run(self._play, seconds, clock=MockClock(autojump_threshold=0.0))
+            trio.run(self._simulate, seconds, clock=MockClock(autojump_threshold=0.0))
         finally:
             logger.enable("wagtailpoint")
         return self.outcomes
 
-    async def _play(self, seconds: float) -> None:
-        self._servers = {each.entry.server_id: each for each in self._make_servers()}
+    async def _simulate(self, seconds: float) -> None:
+        self._servers = {server.entry.server_id: server for server in self._make_servers()}
         total = sum(self._deployment.instances.values())
         placements = {
             domain: [self._make_placement(domain, total) for _ in range(count)]
@@ -248,36 +248,42 @@
         }
         async with trio.open_nursery() as nursery:
             for fault in self._faults:
-                nursery.start_soon(self._fail, fault, placements)
-            for domain, here in placements.items():
+                nursery.start_soon(self._inject_fault, fault, placements)
+            for domain, domain_placements in placements.items():
                 for request_class in self._deployment.classes:
-                    nursery.start_soon(self._callers, domain, here, request_class, seconds)
+                    nursery.start_soon(
+                        self._run_callers, domain, domain_placements, request_class, seconds
+                    )
 
-    async def _fail(self, fault: Fault, placements: Mapping[str, list[Placement]]) -> None:
+    async def _inject_fault(self, fault: Fault, placements: Mapping[str, list[Placement]]) -> None:
         await trio.sleep_until(fault.at_s)
         if not fault.domain:
             total = sum(self._deployment.instances.values())
             self._fleets.clear()
-            for domain, here in placements.items():
-                here[:] = [self._make_placement(domain, total) for _ in here]
+            for domain, domain_placements in placements.items():
+                domain_placements[:] = [
+                    self._make_placement(domain, total) for _ in domain_placements
+                ]
             return
         lost = [
-            each for each in self._servers.values() if each.entry.failure_domain == fault.domain
+            outcome
+            for outcome in self._servers.values()
+            if server.entry.failure_domain == fault.domain
         ]
         for server in lost:
             del self._servers[server.entry.server_id]
-        self._tell_servers()
-        await trio.sleep(fault.for_s)
+        self._update_fleets()
+        await trio.sleep(fault.duration_s)
         for server in lost:
             entry = server.entry._replace(started_ms=int(1000 * trio.current_time()))
-            cache = self._deployment.cache[entry.service]
-            made = ModelServer(entry=entry, cache=cache, random=self._random)
+            cache_size = self._deployment.cache_size[entry.service]
+            made = ModelServer(entry=entry, cache_size=cache_size, random=self._random)
             self._servers[entry.server_id] = made
-        self._tell_servers()
+        self._update_fleets()
 
-    def _tell_servers(self) -> None:
+    def _update_fleets(self) -> None:
         for fleet in self._fleets:
-            fleet.update([each.entry for each in self._servers.values()])
+            fleet.update([server.entry for server in self._servers.values()])
 
     def _make_servers(self) -> list[ModelServer]:
         made = []
@@ -288,30 +294,32 @@
                     slots = self._deployment.slots[service]
                     name = f"{service}-{domain}-{number}"
                     entry = ServerEntry(name, service, address, domain, slots, False, 0.0)
-                    cache = self._deployment.cache[service]
-                    made.append(ModelServer(entry=entry, cache=cache, random=self._random))
+                    cache_size = self._deployment.cache_size[service]
+                    made.append(
+                        ModelServer(entry=entry, cache_size=cache_size, random=self._random)
+                    )
         return made
 
     def _make_placement(self, domain: str, instances: int) -> Placement:
         deployment = self._deployment
         fleet = Fleet(region_of=deployment.region_of)
-        fleet.update([each.entry for each in self._servers.values()])
+        fleet.update([server.entry for server in self._servers.values()])
         self._fleets.append(fleet)
         distances = Distances(
             failure_domain=domain,
             region=deployment.region_of[domain],
             region_of=deployment.region_of,
         )
-        for other in deployment.region_of:
-            distances.record_connect_time(other, deployment.round_trip_s(domain, other))
+        for destination in deployment.region_of:
+            distances.record_connect_time(destination, deployment.round_trip_s(domain, destination))
 
         region = deployment.region_of[domain]
         entries = FixedEntryCounts(
             everywhere=instances,
             in_region=sum(
                 count
-                for other, count in deployment.instances.items()
-                if deployment.region_of[other] == region
+                for destination, count in deployment.instances.items()
+                if deployment.region_of[destination] == region
             ),
             in_domain=deployment.instances[domain],
         )
@@ -323,129 +331,161 @@
                 count_senders=lambda start, region, wanted: instances,
             ),
             cached_fraction=CachedFraction(fleet=fleet, entries=entries),
-            mix=RegionMix(max_shift=lambda: MOST_SHIFT, random=self._random),
+            mix=RegionMix(max_shift=lambda: MAX_SHIFT_FRACTION, random=self._random),
             entries=entries,
         )
 
-    async def _callers(
-        self, domain: str, here: Sequence[Placement], sent: RequestClass, seconds: float
+    async def _run_callers(
+        self,
+        domain: str,
+        domain_placements: Sequence[Placement],
+        request_class: RequestClass,
+        seconds: float,
     ) -> None:
-        route = _route_of(sent)
+        route = _build_route(request_class)
         async with trio.open_nursery() as nursery:
             while trio.current_time() < seconds:
-                placement = self._random.choice(here)
-                owner = self._deployment.region_of[domain] if self._deployment.own_keys else ""
-                key = f"{sent.name}-{owner}-{self._random.randrange(sent.keys)}"
-                nursery.start_soon(self._request, domain, placement, sent, route, key)
-                rate = self._deployment.rate(sent, domain, trio.current_time())
+                placement = self._random.choice(domain_placements)
+                owner = (
+                    self._deployment.region_of[domain] if self._deployment.keys_per_region else ""
+                )
+                key = f"{request_class.name}-{owner}-{self._random.randrange(request_class.keys)}"
+                nursery.start_soon(self._request, domain, placement, request_class, route, key)
+                rate = self._deployment.rate(request_class, domain, trio.current_time())
                 await trio.sleep(self._random.expovariate(rate))
 
     async def _request(
-        self, domain: str, placement: Placement, sent: RequestClass, route: HostRoute, key: str
+        self,
+        domain: str,
+        placement: Placement,
+        request_class: RequestClass,
+        route: HostRoute,
+        key: str,
     ) -> None:
         began = trio.current_time()
         ran_in = ""
         for _ in range(2):
-            ran_in = await self._attempt(domain, placement, sent, route, key, began)
+            ran_in = await self._attempt(domain, placement, request_class, route, key, began)
             if ran_in:
                 break
-            await trio.sleep(COME_BACK_S)
-        took_s = trio.current_time() - began
-        in_time = took_s <= sent.objective_s
-        part = 1.0 if in_time else LATE_VALUE if took_s <= sent.deadline_s else 0.0
-        earned = sent.value * part if ran_in else 0.0
+            await trio.sleep(RETRY_DELAY_S)
+        latency_s = trio.current_time() - began
+        in_time = latency_s <= request_class.objective_s
+        value_fraction = (
+            1.0
+            if in_time
+            else LATE_VALUE_FRACTION if latency_s <= request_class.deadline_s else 0.0
+        )
+        earned = request_class.value * value_fraction if ran_in else 0.0
         region = self._deployment.region_of[ran_in] if ran_in else ""
-        price = self._deployment.price(domain, ran_in, sent.reply_bytes) if ran_in else 0.0
+        price = self._deployment.price(domain, ran_in, request_class.reply_bytes) if ran_in else 0.0
         self.outcomes.append(
-            Outcome(began, domain, sent.name, sent.value, earned, not ran_in, region, price)
+            Outcome(
+                began,
+                domain,
+                request_class.name,
+                request_class.value,
+                earned,
+                not ran_in,
+                region,
+                price,
+            )
         )
 
     async def _attempt(
         self,
         domain: str,
         placement: Placement,
-        sent: RequestClass,
+        request_class: RequestClass,
         route: HostRoute,
         key: str,
         began: float,
     ) -> str:
         """Send it once; return the failure domain where it ran, empty if it was refused."""
         elapsed_s = trio.current_time() - began
-        left_s = sent.deadline_s - elapsed_s
-        demand = Demand(route, sent.service, None, key, (), left_s, sent.objective_s - elapsed_s)
+        remaining_s = request_class.deadline_s - elapsed_s
+        demand = Demand(
+            route,
+            request_class.service,
+            None,
+            key,
+            (),
+            remaining_s,
+            request_class.objective_s - elapsed_s,
+        )
         placement.record_request(demand)
         choice = placement.choose(demand)
         if not isinstance(choice, Choice):
             return ""
         sent_at = trio.current_time()
-        way_s = self._deployment.round_trip_s(domain, choice.entry.failure_domain) / 2
+        one_way_s = self._deployment.round_trip_s(domain, choice.entry.failure_domain) / 2
         underway = placement.record_send(demand, choice)
-        await trio.sleep(way_s)
+        await trio.sleep(one_way_s)
         server = self._servers.get(choice.entry.server_id)
         if server is None:
             # It was lost on the way; the caller comes back once.
             placement.record_end(choice.entry, underway)
             return ""
-        ran = await server.serve(key, sent.work_s, max(0.0, left_s - way_s))
+        ran = await server.serve(key, request_class.work_s, max(0.0, remaining_s - one_way_s))
         report = server.report
-        await trio.sleep(way_s)
+        await trio.sleep(one_way_s)
         latency_s = trio.current_time() - sent_at
-        seen = Observation(latency_s, sent.reply_bytes, False, not ran, report, 0.0)
-        placement.record_answer(demand, choice, seen)
+        observation = Observation(latency_s, request_class.reply_bytes, False, not ran, report, 0.0)
+        placement.record_answer(demand, choice, observation)
         placement.record_end(choice.entry, underway)
         return choice.entry.failure_domain if ran else ""
 
 
-def _route_of(sent: RequestClass) -> HostRoute:
+def _build_route(request_class: RequestClass) -> HostRoute:
     return HostRoute(
-        name=sent.name,
-        prefix=f"/{sent.name}/",
+        name=request_class.name,
+        prefix=f"/{request_class.name}/",
         kind=RouteKind.IDEMPOTENT,
-        timeout_s=sent.deadline_s,
-        objective_s=sent.objective_s,
-        priority=sent.priority,
+        timeout_s=request_class.deadline_s,
+        objective_s=request_class.objective_s,
+        priority=request_class.priority,
         max_attempts=2,
         sticky=True,
         home_regions=None,
-        parts=(SplitPart(sent.service, 1.0),),
+        parts=(SplitPart(request_class.service, 1.0),),
     )
 
 
 def worth(outcomes: Sequence[Outcome]) -> float:
     """What was earned of what could have been, 0 to 1."""
-    owed = sum(each.value for each in outcomes)
-    return sum(each.earned for each in outcomes) / owed if owed else 0.0
+    owed = sum(outcome.value for outcome in outcomes)
+    return sum(outcome.earned for outcome in outcomes) / owed if owed else 0.0
 
 
 def prices(outcomes: Sequence[Outcome]) -> float:
     """What bytes cost, as a part of what could have been earned."""
-    owed = sum(each.value for each in outcomes)
-    return sum(each.price for each in outcomes) / owed if owed else 0.0
+    owed = sum(outcome.value for outcome in outcomes)
+    return sum(outcome.price for outcome in outcomes) / owed if owed else 0.0
 
 
 def worth_by(outcomes: Sequence[Outcome], field: str) -> dict[str, float]:
     """The same by a field of the outcomes; ``began`` by the second."""
     groups: dict[str, list[Outcome]] = defaultdict(list)
-    for each in outcomes:
-        value = getattr(each, field)
-        groups[f"{int(value):02}" if field == "began" else value].append(each)
+    for outcome in outcomes:
+        value = getattr(outcome, field)
+        groups[f"{int(value):02}" if field == "began" else value].append(outcome)
     return {name: worth(found) for name, found in sorted(groups.items())}
 
 
 def largest_shift(outcomes: Sequence[Outcome], region_of: Mapping[str, str]) -> float:
     """The largest part of a region's requests that changed regions between two windows."""
     windows: dict[tuple[str, int], Counter[str]] = defaultdict(Counter)
-    for each in outcomes:
-        if each.ran_in:
-            windows[region_of[each.domain], int(each.began // WINDOW_S)][each.ran_in] += 1
+    for outcome in outcomes:
+        if outcome.ran_in:
+            windows[region_of[outcome.domain], int(outcome.began // WINDOW_S)][outcome.ran_in] += 1
     shifts = [0.0]
     for (region, number), ran in windows.items():
         after = windows.get((region, number + 1))
         if after is not None:
             shifts.append(
                 sum(
-                    max(0.0, after[place] / after.total() - ran[place] / ran.total())
-                    for place in after
+                    max(0.0, after[target] / after.total() - ran[target] / ran.total())
+                    for target in after
                 )
             )
     return max(shifts)
--- a/tests/cover/test_system_model.py
+++ b/tests/cover/test_system_model.py
@@ -31,7 +31,7 @@
 class SystemModelTest(unittest.TestCase):
     def test_two_servers_of_a_region_are_not_given_what_others_can_serve(self) -> None:
         """Kolkata has two of 24 backend servers, and as many callers as the other regions."""
-        outcomes = SystemModel(deployment=SURAKKHA, seed=1).play(3.0)
+        outcomes = SystemModel(deployment=SURAKKHA, seed=1).simulate(3.0)
         kolkata = [each for each in outcomes if SURAKKHA.region_of[each.domain] == "kolkata"]
         away = sum(each.ran_in not in ("", "kolkata") for each in kolkata)
         self.assertGreater(away, len(kolkata) / 3)
@@ -39,16 +39,18 @@
 
     def test_lost_failure_domain_is_noticed_and_comes_back(self) -> None:
         faults = (Fault(1.0, 1.0, "matigara"),)
-        outcomes = SystemModel(deployment=SURAKKHA, seed=1, faults=faults).play(4.0)
+        outcomes = SystemModel(deployment=SURAKKHA, seed=1, faults=faults).simulate(4.0)
         away = [each for each in outcomes if 1.3 < each.began < 1.8]
         back = [each for each in outcomes if each.began > 3.0]
         self.assertGreater(worth(back), 0.8)
         self.assertLess(sum(each.refused for each in away), len(away) / 4)
 
     def test_callers_of_regions_by_turns(self) -> None:
-        sent = VITAMINS.classes[0]
-        rates = [VITAMINS.rate(sent, domain, 9.0) for domain in ("dub-a", "cork-a", "gal-a")]
-        self.assertAlmostEqual(sum(rates), 3 * sent.rate)
+        request_class = VITAMINS.classes[0]
+        rates = [
+            VITAMINS.rate(request_class, domain, 9.0) for domain in ("dub-a", "cork-a", "gal-a")
+        ]
+        self.assertAlmostEqual(sum(rates), 3 * request_class.rate)
         self.assertGreater(max(rates), 1.4 * min(rates))
 
     def test_constant_that_does_not_exist_is_an_error(self) -> None:
