--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""bench."""
+"""Benches of single parts of the system, and the soak."""
--- a/bench/admission_driver.py
+++ b/bench/admission_driver.py
@@ -1,7 +1,7 @@
-"""A small driver in virtual time around the real admission, and plain rules to compare it with.
+"""Drives the real admission in virtual time, and simple admission rules for comparison.
 
-Callers arrive at random, hold a slot for a random time and go. It is no simulator of the system:
-there is one instance, its backend servers, and nothing else.
+Callers arrive at random times, hold a slot for a random time and release it. Only one instance and
+its backend servers are modelled.
 """
 
 import heapq
@@ -38,17 +38,17 @@
 
 
 class Stream(NamedTuple):
-    """Requests of one kind.
+    """A stream of requests of one kind.
 
     Attributes:
-        policy: Their class.
-        rps: Requests a second, after some seconds since the start.
-        hold_s: How long they hold a slot, on average.
-        timeout_s: How long a caller waits.
-        workspaces: Each arrival is one request of each of these, with the same service time, in
-            changing order; so that they can be compared without the noise of chance.
-        long: They are downloads.
-        repeats: How often a refused caller repeats at once.
+        policy: The class of the requests.
+        rps: Returns the requests per second for a time in seconds since the start.
+        hold_s: The mean time for which a request holds a slot, in seconds.
+        timeout_s: The time for which a caller waits, in seconds.
+        workspaces: Each arrival sends one request of each workspace, with the same service time and
+            in alternating order, so that random variation does not affect their comparison.
+        long: Whether the requests are downloads.
+        retries: How often a refused caller retries, after ``RETRY_DELAY_S``.
     """
 
     policy: ClassPolicy
@@ -61,19 +61,19 @@
 
 
 class Admission(Protocol):
-    """What admits requests: ours, or a rule to compare it with."""
+    """Admits requests: the real admission, or a rule to compare it with."""
 
     async def acquire(self, demand: SlotDemand) -> Result[Slot, Refusal]:
-        """Take a slot, or be refused."""
+        """Acquire a slot, or return the refusal."""
         ...
 
     def release(self, slot: Slot) -> None:
-        """Give it back."""
+        """Release an acquired slot."""
         ...
 
 
 class AllServers:
-    """A choice among all backend servers, which are all alike."""
+    """A choice among all backend servers, which are equal in every respect."""
 
     def __init__(self) -> None:
         self._servers = [
@@ -82,21 +82,21 @@
         ]
 
     def candidates(self) -> Sequence[BackendServer]:
-        """All of them."""
+        """Return all backend servers."""
         return self._servers
 
     def tier_of(self, server: BackendServer) -> int:
-        """One tier."""
+        """Return the same tier for every backend server."""
         return 0
 
     def record_taken(self, server: BackendServer) -> None:
-        """Nothing to note."""
+        """Ignore the taken slot: the choice keeps no state."""
 
 
 class PlainQueue:
-    """A queue that is bounded by a number and holds requests up to their deadline.
+    """A queue of limited length that holds requests until their deadline.
 
-    Ordered by class it is our first version; else it is first come, first served.
+    The queue is ordered by the priority of classes, or first come, first served.
     """
 
     def __init__(self, *, by_class: bool) -> None:
@@ -107,7 +107,7 @@
         self._gone: set[int] = set()
 
     async def acquire(self, demand: SlotDemand) -> Result[Slot, Refusal]:
-        """Take a slot, waiting until the deadline."""
+        """Acquire a slot, waiting until the deadline."""
         slot = Slot(demand.pool, demand.servers.candidates()[0], demand.policy)
         if self._free:
             self._free -= 1
@@ -125,7 +125,7 @@
         return Err(refuse_slot(demand.pool, demand.policy.name, "deadline", 1.0))
 
     def release(self, slot: Slot) -> None:
-        """Wake the next."""
+        """Release a slot, and give it to the next request in the queue."""
         self._free += 1
         while self._queue:
             _, number, ready = heapq.heappop(self._queue)
@@ -137,7 +137,7 @@
 
 
 ONE_CLASS_RULES: Final = ("fcfs", "ours")
-"""With one class our first version is first come, first served, too."""
+"""The rules to compare where there is one class: ``first`` equals ``fcfs`` then."""
 
 RULES: Final[dict[str, Callable[[], Admission]]] = {
     "fcfs": lambda: PlainQueue(by_class=False),
@@ -147,14 +147,14 @@
 
 
 class Measurements:
-    """What was measured of one class or workspace.
+    """The measurements of one class or workspace.
 
     Attributes:
-        latency: Of answers in time, in microseconds.
-        refused: Requests refused for good, the caller's repeats included.
-        late_refusals: Refusals that came after more than half of the caller's time.
-        timed_out: Requests that had a slot and were not done at their deadline.
-        held_s: Slot seconds that led to answers in time.
+        latency: The latency of answers in time, in microseconds.
+        refused: Requests that were refused at the first attempt and at every retry.
+        late_refusals: Refusals later than half of the caller's timeout.
+        timed_out: Requests that got a slot and were not finished at their deadline.
+        held_s: Slot seconds of requests that were answered in time.
     """
 
     def __init__(self) -> None:
@@ -164,28 +164,30 @@
 
     @property
     def answered(self) -> int:
-        """Answers in time."""
+        """The number of answers in time."""
         return int(self.latency.get_total_count())
 
     def percentile_ms(self, percentile: float) -> float:
-        """A percentile of the latency of answers, in milliseconds."""
+        """Return a percentile of the latency of answers in time, in milliseconds."""
         return float(self.latency.get_value_at_percentile(percentile)) / 1000
 
 
 class Run:
-    """One rule under some streams."""
+    """A run of one admission rule under the load of some streams."""
 
     def __init__(self, *, rule: str, streams: Sequence[Stream], duration_s: float, seed: int = 5):
-        """Run it, in virtual time.
+        """Run the streams against the rule, in virtual time.
 
         Args:
-            rule: One of ``RULES``.
-            streams: What arrives.
-            until_s: For so long; then what is there is finished.
-            seed: Of arrivals and service times.
+            rule: The name of the rule, a key of ``RULES``.
+            streams: The streams of requests.
+            duration_s: How long requests arrive, in seconds; requests in progress then finish.
+            seed: The seed of arrivals and service times.
         """
-        self.by_class: dict[str, Measurements] = {each.name: Measurements() for each in CLASSES}
-        self.by_workspace = {name: Measurements() for each in streams for name in each.workspaces}
+        self.by_class: dict[str, Measurements] = {policy.name: Measurements() for policy in CLASSES}
+        self.by_workspace = {
+            name: Measurements() for stream in streams for name in stream.workspaces
+        }
         self.max_held: Counter[str] = Counter()
         self.duration_s = duration_s
         self._random = Random(seed)
@@ -197,7 +199,7 @@
 
     @property
     def goodput_fraction(self) -> float:
-        """The part of all slot time that led to answers in time, until the last arrival."""
+        """The fraction of all slot time, up to the last arrival, that led to answers in time."""
         useful = sum(measured.held_s for measured in self.by_class.values())
         return useful / (TOTAL_SLOTS * self.duration_s)
 
@@ -236,7 +238,7 @@
     async def _attempt(
         self, stream: Stream, workspace: str, hold_s: float, results: Sequence[Measurements]
     ) -> bool:
-        """Send it once; True if it got a slot."""
+        """Send a request once; return whether it got a slot."""
         started_at = trio.current_time()
         deadline = started_at + stream.timeout_s
         demand = SlotDemand("desk", self._servers, stream.policy, deadline)
--- a/bench/backend_connections.py
+++ b/bench/backend_connections.py
@@ -1,6 +1,6 @@
-"""What an exchange with a backend server costs, and what the learned rest of connections saves.
+"""Measures the cost of an exchange with a backend server, and the effect of the learned idle limit.
 
-The backend servers are stand-ins in a process of their own; processor time is this process's.
+The backend servers are stand-ins in a separate process; processor time is that of this process.
 """
 
 import random
@@ -25,21 +25,25 @@
 PORT = 9100
 PROXY_PORT = 9001
 MAX_COST_RATIO = 1.5
-"""Our processor time for an exchange against that of httpcore's own pool, at most."""
+"""Upper bound of the processor time of an exchange relative to that of httpcore's own pool."""
 
 MIN_REDUCTION_FACTOR = 2.0
-"""So many times fewer releases end in `may-have-run` by the learned limit, at least."""
+"""Lower bound of the factor by which the learned limit reduces releases that may have run."""
 
 _FIGURES: dict[str, dict[str, float]] = {}
 
 
 def figures() -> dict[str, dict[str, float]]:
-    """What the last run measured."""
+    """Return the results of the last run, for the plot."""
     return _FIGURES
 
 
 def run(short: bool) -> list[str]:
-    """Measure both."""
+    """Measure the cost of exchanges, and releases on connections that the server closes.
+
+    Raises:
+        AssertionError: A bound is exceeded.
+    """
     _FIGURES.clear()
     return _run_costs(300 if short else 3000) + _run_race(80 if short else 800)
 
@@ -64,7 +68,7 @@
         module="tests.common.backend_standin", arguments=arguments, address=host, port=PORT
     ):
         costs = trio.run(_measure_costs, BackendAddress(host, PORT), count)
-    lines = [f"{'one exchange, one after the other':36}  processor ms  median ms"]
+    lines = [f"{'sequential exchanges':36}  processor ms  median ms"]
     for name, (processor_ms, median_ms) in costs.items():
         lines.append(f"{name:36}  {processor_ms:12.3f}  {median_ms:9.3f}")
         _FIGURES.setdefault("exchange, processor ms", {})[name] = processor_ms
@@ -98,7 +102,7 @@
 
 
 async def _measure(exchange: Callable[[int], Awaitable[None]], count: int) -> tuple[float, float]:
-    """Processor time in all and median latency, both for one exchange in milliseconds."""
+    """Return the mean processor time and the median latency of an exchange, in milliseconds."""
     latencies = []
     for number in range(count // 10):
         await exchange(number)
@@ -122,16 +126,16 @@
     learned, fixed = may_have_run["learned limit"], may_have_run[baseline]
     assert (
         learned * MIN_REDUCTION_FACTOR <= fixed
-    ), f"{learned} releases spoilt, {fixed} without learning"
+    ), f"{learned} releases may have run, {fixed} without the learned limit"
     return lines
 
 
 async def _measure_race(count: int, safe_idle_s: float | None) -> tuple[int, int]:
-    """Releases that ended in `may-have-run`, and connections opened.
+    """Return how many releases ended in `may-have-run`, and how many connections were opened.
 
     Args:
-        count: How many releases.
-        safe_idle_s: The limit, in seconds; None to have it learned.
+        count: The number of releases to send.
+        safe_idle_s: The idle limit for reusing a connection, in seconds; None to learn it.
     """
     host, sender_count = loopback_address(), 4
     worker, backends = Worker(service_ms=1.0, slots=50), HttpBackends()
--- a/bench/capacity_group.py
+++ b/bench/capacity_group.py
@@ -1,7 +1,7 @@
-"""What the instances of a group send each other, by how many they are.
+"""Measures what the instances of a group send each other, by the size of the group.
 
-Links in memory and a mock clock: messages, bytes and processor time of membership, of one
-configuration change, of a cut and of a report.
+The group runs over links in memory with a mock clock. Measured are messages, bytes and processor
+time of membership, one configuration change, a network partition and one load report.
 """
 
 import time
@@ -15,13 +15,13 @@
 IDLE_S = 8.0
 PARTITION_S = 30.0
 REPORTS_S = 4.0
-"""As many epochs begin at 490 instances, one each in 120 s."""
+"""Reports per second: 490 instances that each begin an epoch every 120 s send as many."""
 HEADER_BYTES = 8 + 52 + 52
-"""Length and IP and TCP headers of a small message, and of the acknowledgement it may get."""
+"""Length prefix, IP and TCP headers of a small message, and headers of its acknowledgement."""
 
 
 class SentTotals(NamedTuple):
-    """What a whole group sent so far, and the processor time of this process."""
+    """Messages and bytes a group has sent so far, and the processor time of this process."""
 
     messages: int
     bytes: int
@@ -29,7 +29,7 @@
 
 
 class GroupCost(NamedTuple):
-    """One instance of a group, on average."""
+    """The mean cost of one instance in a group, and the seconds a change takes to reach all."""
 
     instances: int
     messages_s: float
@@ -59,7 +59,11 @@
 
 
 def _read_totals(group: MemberGroup) -> SentTotals:
-    sent = [kind for each in group.instances.values() for kind in each.peers.counts.sent.values()]
+    sent = [
+        kind
+        for instance in group.instances.values()
+        for kind in instance.peers.counts.sent.values()
+    ]
     return SentTotals(
         sum(traffic.messages for traffic in sent),
         sum(traffic.bytes for traffic in sent),
@@ -68,7 +72,7 @@
 
 
 def measure_group(count: int) -> GroupCost:
-    """Run a group in memory: join, idle, one change."""
+    """Measure a group in memory that joins, idles and receives one configuration change."""
     costs: list[GroupCost] = []
 
     async def scenario(group: MemberGroup) -> None:
@@ -86,7 +90,7 @@
         first.offer(_snapshot(2))
         changed_at = trio.current_time()
         received_s = await group.wait_until(
-            lambda: all(each.versions[-1] == 2 for each in group.instances.values())
+            lambda: all(instance.versions[-1] == 2 for instance in group.instances.values())
         )
         await group.wait_until(lambda: _is_known_by_all(group, 2), within_s=120)
         known_s = trio.current_time() - changed_at
@@ -114,7 +118,7 @@
 
 
 def measure_partition(count: int) -> str:
-    """What a third of a group that is cut off costs each instance, and what healing costs."""
+    """Measure the bytes each instance sends while a third is partitioned off, and on healing."""
     lines: list[str] = []
 
     async def scenario(group: MemberGroup) -> None:
@@ -133,8 +137,8 @@
         healed_s = trio.current_time() - healed_at
         healing = (_read_totals(group).bytes - before.bytes) / count
         lines.append(
-            f"a third of {count} cut off: {partition_bytes_s:.0f} bytes/s sent each;"
-            f" after healing all see all in {healed_s:.1f} s, {healing:.0f} bytes each"
+            f"a third of {count} instances partitioned: {partition_bytes_s:.0f} bytes/s sent each;"
+            f" after healing all live in {healed_s:.1f} s, {healing:.0f} bytes sent each"
         )
 
     run_group(scenario)
@@ -142,7 +146,7 @@
 
 
 def measure_reports(count: int) -> str:
-    """What one report of one instance (its epoch, its load) costs each member."""
+    """Measure what each member sends for one load report (epoch and load) of one instance."""
     lines: list[str] = []
 
     async def scenario(group: MemberGroup) -> None:
@@ -160,8 +164,9 @@
         messages = (after.messages - 2 * idle.messages + before.messages) / count
         reports = int(IDLE_S * REPORTS_S)
         lines.append(
-            f"a report (epoch, load) of one of {count}, {REPORTS_S:.0f} a second:"
-            f" {cost / reports:.0f} bytes in {messages / reports:.2f} messages sent by each"
+            f"load report (epoch, load) of one of {count} instances, {REPORTS_S:.0f} per second:"
+            f" {cost / reports:.0f} bytes in {messages / reports:.2f} messages "
+            f"sent by each instance"
         )
 
     run_group(scenario)
@@ -170,8 +175,10 @@
 
 def format_group_table(rows: list[GroupCost]) -> list[str]:
     lines = [
-        "          |   idle, each, sent a second     |       one change, each, sent       | s till",
-        "instances messages   bytes on wire* cpu ms   messages    bytes on wire* cpu ms   has told",
+        "          | idle, sent per instance and s   |  one change, sent per instance     | s"
+        " until",
+        "instances messages   bytes on wire* cpu ms   messages    bytes on wire* cpu ms   recv"
+        " known",
     ]
     for row in rows:
         wire = row.bytes_s + row.messages_s * HEADER_BYTES
@@ -182,5 +189,5 @@
             f" {change_wire:8.0f} {row.change_processor_ms:6.1f}"
             f" {row.change_received_s:6.2f} {row.change_known_s:5.2f}"
         )
-    lines.append(f"* estimated: {HEADER_BYTES} bytes of headers and acknowledgement a message")
+    lines.append(f"* estimated: {HEADER_BYTES} bytes of headers and acknowledgement per message")
     return lines
--- a/bench/capacity_instance.py
+++ b/bench/capacity_instance.py
@@ -1,7 +1,7 @@
-"""What one instance needs: memory by client blocks, processor time idle and for a lookup.
+"""Measures an instance: memory by client blocks, and processor time when idle and for a lookup.
 
-Real processes. Their resident memory, start-up, and the longest wait of a lookup while the client
-blocks change; in this process, the size of what instances and the platform give each other.
+Real processes are measured for resident memory, start-up time, and the longest wait for an answer
+while the client blocks change; this process measures the encoding of a full configuration.
 """
 
 import os
@@ -36,11 +36,10 @@
 
 CHANGE_TIMEOUT_S = 60.0
 _KB_PER_MB = 1024.0
-"""Kilobytes of a megabyte."""
 
 
 class Memory(NamedTuple):
-    """One instance at one number of client blocks, in kilobytes and seconds."""
+    """The memory (kB) and times (s) of one instance at one number of client blocks."""
 
     blocks: int
     rss_kb: int
@@ -77,7 +76,7 @@
 
 
 class _Instance:
-    """One entry instance and its platform."""
+    """An entry instance that reads its configuration from a platform."""
 
     def __init__(self, platform: PlatformProcess, directory: Path) -> None:
         self.address = fresh_address()
@@ -109,7 +108,11 @@
         return int(msgspec.json.decode(answer.content)["config_version"])
 
     def wait_for_version(self, version: int, *, since: float) -> tuple[float, float]:
-        """Wait until a version is in force; how long that took, and the longest answer's wait."""
+        """Wait until a version is in force.
+
+        Returns:
+            The seconds from ``since`` until then, and the longest wait for a status answer.
+        """
         max_wait_s = 0.0
         with httpcore.ConnectionPool() as pool:
             while True:
@@ -119,7 +122,10 @@
                 if reached >= version:
                     return time.monotonic() - since, max_wait_s
                 if time.monotonic() - since > CHANGE_TIMEOUT_S:
-                    raise RuntimeError(f"version {version} not in force\n{self.process.log}")
+                    raise RuntimeError(
+                        f"version {version} not in force after {CHANGE_TIMEOUT_S} s\n"
+                        f"{self.process.log}"
+                    )
                 time.sleep(0.002)
 
 
@@ -150,7 +156,7 @@
 
 
 def measure_memory(sizes: tuple[int, ...], *, regions: int) -> list[Memory]:
-    """Grow the client blocks of one instance; start a fresh one at each size as well."""
+    """Measure a running instance whose client blocks grow, and a new instance at each size."""
     rows = []
     with _run_deployment() as (platform, instance):
         for version, count in enumerate(sizes, start=1):
@@ -179,7 +185,7 @@
 
 
 def measure_instance(window_s: float, lookups: int) -> list[str]:
-    """One idle instance: processor time and platform calls; then its lookups."""
+    """Measure processor time and platform calls of an idle instance, then its lookups."""
     with RunningDeployment(name="surakkha", entries=1) as running:
         running.apply_objects()
         entry = running.entries[0]
@@ -191,7 +197,8 @@
         lookup_ms = _measure_lookup_ms(entry, lookups)
     text = ", ".join(f"{name} {count}" for name, count in calls.items())
     return [
-        f"one idle instance alone, {window_s:.0f} s: {core_fraction:.2%} of a core; platform calls: {text}",
+        f"one idle instance alone, {window_s:.0f} s: {core_fraction:.2%} of a core; "
+        f"platform calls: {text}",
         f"processor time of a lookup over HTTP: {lookup_ms:.2f} ms ({lookups} on one connection)",
     ]
 
@@ -204,7 +211,7 @@
 
 
 def _measure_lookup_ms(entry: EntryProcess, count: int) -> float:
-    """Processor milliseconds of the instance for each lookup over one kept connection."""
+    """Return the processor milliseconds per lookup over one persistent connection."""
     address, port = entry.place
     url = f"http://{address}:{port}/v1/lookup?workspace=surakkha&address=10.16.0.9"
     with httpcore.ConnectionPool() as pool:
@@ -216,7 +223,7 @@
 
 
 def measure_replacement(count: int, *, regions: int) -> str:
-    """What a replacement's full configuration costs: the peer that gives it, and itself."""
+    """Measure a full configuration for a replacement: its size, encoding and decoding time."""
     objects = {key: pack(value) for key, value in _build_objects(count, regions=regions).items()}
     snapshot = add_content_hashes(Snapshot(ChangeInfo(1, "c1", "bench", 0.0, ""), objects))
     started_at = time.perf_counter()
@@ -233,11 +240,12 @@
 
 def format_memory_table(rows: list[Memory]) -> list[str]:
     lines = [
-        "   blocks  RSS MB  peak MB  change s  longest wait s  fresh: in force s  RSS MB",
+        "   blocks  RSS MB  peak MB  change s  longest wait s    new: in force s  RSS MB",
     ]
     for row in rows:
         lines.append(
-            f"{row.blocks:9d} {row.rss_kb / _KB_PER_MB:7.1f} {row.peak_kb / _KB_PER_MB:8.1f} {row.change_s:9.2f}"
+            f"{row.blocks:9d} {row.rss_kb / _KB_PER_MB:7.1f} {row.peak_kb / _KB_PER_MB:8.1f} "
+            f"{row.change_s:9.2f}"
             f" {row.max_wait_s:15.3f} {row.start_s:18.2f} {row.start_rss_kb / _KB_PER_MB:7.1f}"
         )
     return lines
--- a/bench/classes.py
+++ b/bench/classes.py
@@ -1,21 +1,21 @@
-"""Classes of requests under load: our admission against plain rules, in virtual time.
+"""Compares the admission of request classes under load with simple rules, in virtual time.
 
     python -m bench.run full
 
-The bounds are ratios within one run. Same seed, same figures.
+The bounds are ratios within one run. The same seed gives the same figures.
 """
 
 from collections.abc import Mapping
 from typing import Final
 
 from bench.admission_driver import (
-    TOTAL_SLOTS,
     BROCHURE,
     BROWSE,
     CAPACITY_RPS,
     ONE_CLASS_RULES,
     RULES,
     TONIGHT,
+    TOTAL_SLOTS,
     Run,
     Stream,
 )
@@ -33,18 +33,22 @@
 
 
 def constant_rate(fraction: float, hold_s: float | None = None):
-    """So much of the capacity, all the time."""
+    """Return a function of time that gives a constant fraction of the capacity, in requests/s."""
     rps = fraction * (CAPACITY_RPS if hold_s is None else TOTAL_SLOTS / hold_s)
     return lambda _now_s: rps
 
 
 def figures() -> Mapping[str, Mapping[str, float]]:
-    """What the last run measured, for the plot."""
+    """Return the results of the last run, for the plot."""
     return _figures
 
 
 def run(short: bool) -> list[str]:
-    """Run all cases."""
+    """Run all cases.
+
+    Raises:
+        AssertionError: A bound is exceeded.
+    """
     _figures.clear()
     _broken.clear()
     factor = 1 if short else 5
@@ -53,7 +57,7 @@
     lines += measure_load_step(1 if short else 3)
     lines += measure_inherited_workspace(3.0 * factor)
     lines += measure_ceiling_use(2.0 * factor)
-    # At the end, so that a broken bound doesn't hide the rest of the table.
+    # Checked at the end, so that an exceeded bound does not hide the rest of the table.
     assert not _broken, "; ".join(_broken) + "\n" + "\n".join(lines)
     return lines
 
@@ -64,7 +68,7 @@
 
 
 def measure_priority(duration_s: float) -> list[str]:
-    """Tonight-searches while browsing and brochures press, each with 1.5 × the capacity."""
+    """Measure tonight-searches while browsing and brochures each arrive at 1.5 × the capacity."""
     tonight = Stream(TONIGHT, constant_rate(0.3))
     browse = Stream(BROWSE, constant_rate(1.5))
     brochure = Stream(
@@ -73,8 +77,9 @@
     idle = Run(rule="ours", streams=[tonight], duration_s=duration_s).by_class["tonight"]
     lines = [
         "tonight at 0.3 of capacity, browsing and brochures at 1.5 each",
-        "rule   tonight p50/p99 ms  of idle  refused  browse answered/s  downloads finished/s",
-        f"idle   {idle.percentile_ms(50):8.1f} {idle.percentile_ms(99):9.1f}     1.00 {idle.refused:8}",
+        "rule   tonight p50/p99 ms  p99/idle refused  browse answered/s  downloads finished/s",
+        f"idle   {idle.percentile_ms(50):8.1f} "
+        f"{idle.percentile_ms(99):9.1f}     1.00 {idle.refused:8}",
     ]
     bars = _figures.setdefault("tonight p99 ms", {"idle": idle.percentile_ms(99)})
     for rule in RULES:
@@ -85,8 +90,10 @@
         ratio = urgent.percentile_ms(99) / idle.percentile_ms(99)
         bars[rule] = urgent.percentile_ms(99)
         lines.append(
-            f"{rule:6} {urgent.percentile_ms(50):8.1f} {urgent.percentile_ms(99):9.1f} {ratio:8.2f} "
-            f"{urgent.refused + urgent.timed_out:8} {results['browse'].answered / duration_s:18.0f} "
+            f"{rule:6} {urgent.percentile_ms(50):8.1f} "
+            f"{urgent.percentile_ms(99):9.1f} {ratio:8.2f} "
+            f"{urgent.refused + urgent.timed_out:8} "
+            f"{results['browse'].answered / duration_s:18.0f} "
             f"{results['brochure'].answered / duration_s:21.1f}"
         )
     _check(ratio <= MAX_TONIGHT_P99_RATIO, f"tonight p99 is {ratio:.2f} x that of an idle system")
@@ -96,10 +103,10 @@
 
 
 def measure_goodput(duration_s: float) -> list[str]:
-    """One class at 1 × and 3 × its capacity, also with callers that repeat at once."""
+    """Measure one class at 1 × and 3 × the capacity, with and without callers that retry."""
     lines = [
-        "goodput as a part of all slot time; at 3 x as a part of that at 1 x",
-        "rule   at 1 x  at 3 x  ratio  at 3 x repeating  ratio  late refusals  timed out",
+        "goodput as a fraction of all slot time; ratio: goodput at 3 x to that at 1 x",
+        "rule   at 1 x  at 3 x  ratio  at 3 x, retrying  ratio  late refusals  timed out",
     ]
     bars = _figures.setdefault("goodput at 3 x, repeating", {})
     for rule in ONE_CLASS_RULES:
@@ -122,7 +129,9 @@
         results = overloaded_retrying.by_class["tonight"]
         bars[rule] = overloaded_retrying.goodput_fraction
         lines.append(
-            f"{rule:6} {at_capacity.goodput_fraction:6.3f} {overloaded.goodput_fraction:7.3f} {ratios[0]:6.2f} {overloaded_retrying.goodput_fraction:17.3f} "
+            f"{rule:6} {at_capacity.goodput_fraction:6.3f} "
+            f"{overloaded.goodput_fraction:7.3f} {ratios[0]:6.2f} "
+            f"{overloaded_retrying.goodput_fraction:17.3f} "
             f"{ratios[1]:6.2f} {results.late_refusals:14} {results.timed_out:10}"
         )
     _check(min(ratios) >= MIN_GOODPUT_RATIO, f"goodput falls to {min(ratios):.2f} at 3 x load")
@@ -130,14 +139,14 @@
 
 
 def measure_load_step(rounds: int) -> list[str]:
-    """Balance checks rise ten-fold, from 0.2 to 2 × the capacity, stay so, and fall again."""
+    """Measure balance checks whose rate steps from 0.2 to 2 × the capacity and back again."""
 
     def checks(now_s: float) -> float:
         return CAPACITY_RPS * (2.0 if 1.0 <= now_s < 1.0 + 2.0 * rounds else 0.2)
 
     duration_s = 2.0 + 2.0 * rounds
     lines = [
-        "rent day: balance checks from 0.2 to 2 x capacity within an instant",
+        "rent day: balance checks step from 0.2 to 2 x capacity",
         "rule   p50/p99 ms of answers  answered  refused  late refusals  timed out",
     ]
     bars = _figures.setdefault("rent day p99 ms", {})
@@ -146,18 +155,20 @@
         check = results.by_class["tonight"]
         bars[rule] = check.percentile_ms(99)
         lines.append(
-            f"{rule:6} {check.percentile_ms(50):8.1f} {check.percentile_ms(99):12.1f} {check.answered:9} "
+            f"{rule:6} {check.percentile_ms(50):8.1f} "
+            f"{check.percentile_ms(99):12.1f} {check.answered:9} "
             f"{check.refused:8} {check.late_refusals:14} {check.timed_out:10}"
         )
     late_fraction = check.late_refusals / max(1, check.refused)
     _check(
-        late_fraction <= MAX_LATE_REFUSAL_FRACTION, f"{late_fraction:.3f} of the refusals came late"
+        late_fraction <= MAX_LATE_REFUSAL_FRACTION,
+        f"{late_fraction:.3f} of the refusals came after half the time",
     )
     return lines
 
 
 def measure_inherited_workspace(duration_s: float) -> list[str]:
-    """An inherited workspace beside an own one, at 85 % load, and while the own one floods."""
+    """Compare an inherited and an own workspace at 85 % load, and in a flood from the own one."""
     lines = [
         "inherited against own workspace, p99 ms",
         "rule   at 0.85: own  inherited  ratio   flood by own: own  inherited  inherited refused",
@@ -172,7 +183,8 @@
         ratio = max(p99) / min(p99)
         lines.append(
             f"{rule:6} {p99[0]:13.1f} {p99[1]:10.1f} {ratio:6.2f} "
-            f"{flooded['own'].percentile_ms(99):19.1f} {flooded['inherited'].percentile_ms(99):10.1f} "
+            f"{flooded['own'].percentile_ms(99):19.1f} "
+            f"{flooded['inherited'].percentile_ms(99):10.1f} "
             f"{flooded['inherited'].refused:18}"
         )
     _check(ratio <= MAX_INHERITED_P99_RATIO, f"p99 of own and inherited differ by {ratio:.2f}")
@@ -181,7 +193,7 @@
 
 
 def measure_ceiling_use(duration_s: float) -> list[str]:
-    """Brochures alone, at 3 × the capacity, use what their ceiling allows."""
+    """Measure whether brochures alone, at 3 × the capacity, use all slots of their ceiling."""
     brochure = Stream(
         BROCHURE, constant_rate(3.0, DOWNLOAD_S), hold_s=DOWNLOAD_S, timeout_s=5.0, long=True
     )
@@ -193,5 +205,6 @@
         max_held == ceiling, f"brochures alone held {max_held} slots, their ceiling is {ceiling}"
     )
     return [
-        f"brochures alone: {max_held} of {ceiling} slots held at most, {utilisation:.2f} of them in use"
+        f"brochures alone: {max_held} of {ceiling} slots held at most, "
+        f"{utilisation:.2f} of them in use"
     ]
--- a/bench/config_spread.py
+++ b/bench/config_spread.py
@@ -1,7 +1,7 @@
-"""How long an accepted change takes to all instances, and how many calls of the platform it costs.
+"""Measures the time until a configuration change is in force everywhere, and its platform calls.
 
-Real instances, and the platform stand-in, on loopback. The calls of the operator are counted apart:
-they are the same for every fleet.
+Real instances and the platform stand-in run on loopback. The operator's calls are subtracted, as
+they are the same for every fleet size.
 """
 
 import time
@@ -18,15 +18,15 @@
 CHANGES = 5
 IN_FORCE_TIMEOUT_S = 10.0
 MAX_CALLS_GROWTH = 2.5
-"""Calls a change may grow by this factor from the smallest to the largest fleet: it grows with the
-failure domains, not with the instances."""
+"""Maximum growth of calls per change from the smallest to the largest fleet. Calls should
+grow with the number of failure domains, not of instances."""
 
 OPERATOR_CALLS = 5
-"""Head and manifest read; one content, the manifest and the head written."""
+"""Two reads (head and manifest) and three writes (one content, the manifest and the head)."""
 
 
 class Spread:
-    """What one fleet measured."""
+    """The measurements of one fleet."""
 
     def __init__(self, *, instances: int) -> None:
         self.instances = instances
@@ -35,7 +35,7 @@
 
     @property
     def row(self) -> str:
-        """A line of the table."""
+        """The table row of the fleet."""
         sorted_s = sorted(self.durations_s)
         median_ms, max_ms = sorted_s[len(sorted_s) // 2] * 1000, sorted_s[-1] * 1000
         calls = f"{min(self.calls):>5} | {max(self.calls):>5}"
@@ -43,20 +43,25 @@
 
 
 def run(short: bool) -> list[str]:
-    """Measure each size of fleet.
+    """Measure each fleet size.
 
     Raises:
-        AssertionError: A change was not in force everywhere in time, or its calls grow too fast.
+        AssertionError: The platform calls per change grow faster than the bound.
+        trio.TooSlowError: A change was not in force everywhere within `IN_FORCE_TIMEOUT_S`.
     """
     spreads = [measure(instances) for instances in (SHORT_FLEETS if short else FULL_FLEETS)]
     first, last = min(spreads[0].calls), min(spreads[-1].calls)
-    assert last <= MAX_CALLS_GROWTH * first, f"{last} calls a change, {first} in the small fleet"
-    header = "instances | median ms | worst ms | calls of the platform by instances, least and most"
+    assert (
+        last <= MAX_CALLS_GROWTH * first
+    ), f"{last} calls per change in the largest fleet, {first} in the smallest"
+    header = (
+        "instances | median ms |   max ms | platform calls per change by instances, min and max"
+    )
     return [header, *(spread.row for spread in spreads)]
 
 
 def measure(instances: int) -> Spread:
-    """Make some changes in a fleet of so many instances."""
+    """Apply some changes in a fleet with the given number of instances."""
     spread = Spread(instances=instances)
     with RunningDeployment(name="surakkha", entries=instances) as running:
         running.apply_objects()
@@ -93,7 +98,10 @@
 
 
 async def _wait_until_in_force(running: RunningDeployment, index: int, version: int) -> float:
-    """When an instance put a version into force, by the wall clock that all share here."""
+    """Return the wall-clock time, in seconds, at which an instance put a version into force.
+
+    All processes share one wall clock.
+    """
     with trio.fail_after(IN_FORCE_TIMEOUT_S):
         while True:
             page = await trio.to_thread.run_sync(running.entries[index].page, "timeline")
--- a/bench/entry.py
+++ b/bench/entry.py
@@ -1,7 +1,7 @@
-"""What one entry process costs: processor time, added latency, memory.
+"""Measures the processor time, added latency and memory of one entry process.
 
-The baselines are measured in the same run: hypercorn alone, as it comes, and the backend server
-asked directly.
+The baselines are measured in the same run: hypercorn alone with default settings, and direct
+requests to the backend server.
 """
 
 import json
@@ -23,7 +23,7 @@
 PLAIN_PORT = 7999
 UNLIMITED_RPS = 1_000_000
 REQUESTS_PER_CONNECTION = 250
-"""Fewer than after which hypercorn, as it comes, closes a connection."""
+"""Below the number after which hypercorn closes a connection by default."""
 
 MAX_LOOKUP_RATIO = 0.9
 MAX_PROXIED_RATIO = 3.5
@@ -43,12 +43,12 @@
 
 
 class Exchanges(NamedTuple):
-    """A run of requests, one after the other.
+    """The result of a series of sequential requests.
 
     Attributes:
-        cpu_us: Processor time of the server for each, in microseconds.
+        cpu_us: Mean processor time of the server per request, in microseconds.
         p50_ms: Median latency in milliseconds.
-        p99_ms: 99th percentile.
+        p99_ms: 99th percentile of the latency in milliseconds.
     """
 
     cpu_us: float
@@ -57,7 +57,7 @@
 
 
 class Memory(NamedTuple):
-    """Resident memory in megabytes, idle and with so many requests open."""
+    """Resident memory in megabytes, when idle and with a number of open requests."""
 
     idle_mb: float
     busy_mb: float
@@ -68,12 +68,16 @@
 
 
 def figures() -> Mapping[str, Mapping[str, float]]:
-    """What the last run measured."""
+    """Return the results of the last run, for the plot."""
     return _FIGURES
 
 
 def run(short: bool) -> list[str]:
-    """Measure one entry process."""
+    """Measure one entry process.
+
+    Raises:
+        AssertionError: A bound is exceeded.
+    """
     count = 2_000 if short else 20_000
     with ExitStack() as stack:
         running = stack.enter_context(_deployment())
@@ -92,7 +96,7 @@
             "lookup": _RequestSeries(entry.pid, entry.place, LOOKUP, idle_us),
             "proxied": _RequestSeries(entry.pid, entry.place, BALANCE, idle_us),
         }
-        # By turns, so that other load on the machine falls on all of them alike.
+        # The series alternate, so that other load on the machine affects all of them equally.
         for _ in range(count // REQUESTS_PER_CONNECTION):
             for series in measured.values():
                 series.exchange()
@@ -115,7 +119,7 @@
 
 
 def _apply_unlimited(running: RunningDeployment) -> None:
-    """Apply the deployment's objects, with a limit of the workspace that is never reached."""
+    """Apply the deployment's objects with a workspace limit that is never reached."""
     objects = json.loads(running.objects_file.read_text())
     objects["template/deposit-book"]["parameters"]["max_rps"]["maximum"] = UNLIMITED_RPS
     objects["workspace/surakkha"]["parameters"]["max_rps"] = UNLIMITED_RPS
@@ -136,7 +140,7 @@
 
 
 def _measure_beside_stalled(entry: EntryProcess, idle_us: float, count: int) -> Exchanges:
-    """Lookups while other callers stand still in their headers, their body, or their reply."""
+    """Measure lookups while other callers stall in their headers, their body or their reply."""
     stalled = [STALLED_HEAD] * 100 + [STALLED_BODY] * 50 + [LONG_DOWNLOAD] * 10
     lookups = _RequestSeries(entry.pid, entry.place, LOOKUP, idle_us)
     with ExitStack() as stack:
@@ -149,26 +153,26 @@
 
 
 class _RequestSeries:
-    """One kind of request, sent again and again, one after the other."""
+    """Sends one request repeatedly, one at a time, and records latency and processor time."""
 
-    def __init__(self, pid: int, place: tuple[str, int], request: bytes, idle_us: float) -> None:
-        """Make it.
+    def __init__(self, pid: int, endpoint: tuple[str, int], request: bytes, idle_us: float) -> None:
+        """Initialise the series.
 
         Args:
-            pid: The server whose processor time is measured.
-            place: Where it listens.
-            request: The request.
-            idle_us: What the server spends in a second without requests, in microseconds.
+            pid: The process id of the server whose processor time is measured.
+            endpoint: The address and port of the server.
+            request: The encoded request.
+            idle_us: Processor time of the server per second without requests, in microseconds.
         """
         self._pid = pid
-        self._endpoint = place
+        self._endpoint = endpoint
         self._request = request
         self._idle_us = idle_us
         self._histogram = HdrHistogram(1, 60_000_000, 3)
         self._cpu_us = 0.0
 
     def exchange(self) -> None:
-        """Send some requests on a new connection."""
+        """Send ``REQUESTS_PER_CONNECTION`` requests on a new connection."""
         started_at, cpu = time.perf_counter(), _cpu_us(self._pid)
         with socket.create_connection(self._endpoint) as connection:
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -181,7 +185,7 @@
         self._cpu_us += _cpu_us(self._pid) - cpu - idle_us
 
     def result(self) -> Exchanges:
-        """What was measured so far."""
+        """Return the results of all exchanges so far."""
         p50, p99 = (
             self._histogram.get_value_at_percentile(percentile) / 1000 for percentile in (50, 99)
         )
@@ -193,7 +197,7 @@
     data = b""
     while b"\r\n\r\n" not in data:
         received = connection.recv(65536)
-        assert received, f"the connection was closed behind {data!r}"
+        assert received, f"connection closed before the end of the headers: got {data!r}"
         data += received
     head, _, body = data.partition(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 200"), data
@@ -205,7 +209,7 @@
 
 
 def _cpu_us(pid: int) -> float:
-    """Processor time of a process in microseconds, by the scheduler's own account."""
+    """Return the processor time of a process in microseconds, from the scheduler's statistics."""
     schedstat = (Path(f"/proc/{pid}/task") / str(task) / "schedstat" for task in _list_tasks(pid))
     return sum(int(path.read_text().split()[0]) for path in schedstat) / 1000
 
@@ -227,7 +231,7 @@
 
 
 def _measure_memory(running: RunningDeployment) -> Memory:
-    """Resident memory before and while many requests are open: their last byte is missing."""
+    """Measure resident memory when idle and with many requests open, which lack their last byte."""
     entry = running.entries[0]
     idle_mb = _read_resident_mb(entry.pid)
     with ExitStack() as stack:
@@ -246,7 +250,7 @@
     _FIGURES["p50, ms"] = {name: row.p50_ms for name, row in rows.items()}
     _FIGURES["p99, ms"] = {name: row.p99_ms for name, row in rows.items()}
     _FIGURES["memory, MB"] = {"idle": memory.idle_mb, "busy": memory.busy_mb}
-    lines = [f"{'one request after the other':<26}{'cpu us':>8}{'p50 ms':>8}{'p99 ms':>8}"]
+    lines = [f"{'sequential requests':<26}{'cpu us':>8}{'p50 ms':>8}{'p99 ms':>8}"]
     lines += [
         f"{name:<26}{row.cpu_us:>8.0f}{row.p50_ms:>8.2f}{row.p99_ms:>8.2f}"
         for name, row in rows.items()
@@ -254,7 +258,7 @@
     per_request_kb = (memory.busy_mb - memory.idle_mb) * 1024 / max(1, memory.open_requests)
     lines.append(
         f"memory {memory.idle_mb:.1f} MB idle, {memory.busy_mb:.1f} MB with "
-        f"{memory.open_requests} open requests ({per_request_kb:.0f} KB each)"
+        f"{memory.open_requests} open requests ({per_request_kb:.0f} KB per request)"
     )
     lines.append(f"processor time without requests: {idle_us / 10_000:.2f} % of a core")
     return lines
--- a/bench/hedging.py
+++ b/bench/hedging.py
@@ -1,7 +1,8 @@
-"""Second copies of slow balance checks, with and without, in virtual time.
+"""Compares the latency of balance checks with and without hedged requests, in virtual time.
 
-The real forwarding, admission and retry budget, 24 backend servers with 3 slots in two failure
-domains, exponential service time of 20 ms on average. Same seed, same figures.
+The real forwarding, admission and retry budget run against 24 backend servers with 3 slots each in
+two failure domains; service times are exponential with a mean of 20 ms. The same seed gives the
+same figures.
 """
 
 from collections.abc import AsyncIterator, Mapping, Sequence
@@ -44,13 +45,14 @@
 
 
 class Case(NamedTuple):
-    """What is wrong with the backend servers.
+    """A kind of slowness of the backend servers.
 
     Attributes:
-        name: For the table.
-        slow: So many of them are slow by ``SLOW_FACTOR``.
-        stalls: This part of the exchanges takes ``STALL_S`` longer.
-        same_time: A request takes the same time everywhere: the worst for a second copy.
+        name: The name in the table.
+        slow_servers: The number of backend servers that are slower by ``SLOW_FACTOR``.
+        stall_fraction: The fraction of exchanges that take ``STALL_S`` longer.
+        same_service_time: Whether a request takes the same time on every backend server, the worst
+            case for a hedged request.
     """
 
     name: str
@@ -68,7 +70,7 @@
 
 
 class _UnrankedChoice:
-    """All backend servers, without any ranking."""
+    """Offers all backend servers without ranking them."""
 
     def __init__(self) -> None:
         self._servers = [
@@ -87,7 +89,7 @@
 
 
 class _FixedServers:
-    """Implements ``ServerSource``."""
+    """Implements ``ServerSource`` with a fixed set of backend servers."""
 
     def __init__(self) -> None:
         self._choice = _UnrankedChoice()
@@ -105,7 +107,7 @@
 
 
 class _Backends:
-    """Answers after a random time."""
+    """Answers each request after a random service time, and counts exchanges."""
 
     def __init__(self, *, case: Case) -> None:
         self.exchanges = 0
@@ -132,14 +134,14 @@
 
 
 class _Observer:
-    """Implements ``EntryObserver``, of which forwarding uses one method."""
+    """Implements the one method of ``EntryObserver`` that forwarding uses."""
 
     def on_exchange_failed(self, *_what: Any, **_more: Any) -> None:
         pass
 
 
 class Run:
-    """One case at one load, with second copies or without."""
+    """A run of one case at one load, with or without hedged requests."""
 
     def __init__(self, *, case: Case, load: float, hedging: bool, duration_s: float) -> None:
         self.histogram = HdrHistogram(1, 60_000_000, 3)
@@ -152,16 +154,16 @@
 
     @property
     def answered(self) -> int:
-        """Requests that were answered."""
+        """The number of answered requests."""
         return int(self.histogram.get_total_count())
 
     @property
     def hedged_fraction(self) -> float:
-        """Second copies as a part of the answers; exact when nothing fails or is refused."""
+        """Hedged requests as a fraction of answers; exact if no request fails or is refused."""
         return self._backends.exchanges / self.answered - 1
 
     def percentile_ms(self, percentile: float) -> float:
-        """A percentile of the latency, in milliseconds."""
+        """Return a percentile of the latency, in milliseconds."""
         return float(self.histogram.get_value_at_percentile(percentile)) / 1000
 
     async def _run(self) -> None:
@@ -203,14 +205,18 @@
 
 
 def figures() -> Mapping[str, Mapping[str, float]]:
-    """What the last run measured, for the plot."""
+    """Return the results of the last run, for the plot."""
     return _figures
 
 
 def run(short: bool) -> list[str]:
-    """Run all cases."""
+    """Run all cases; the short run only those with slow or stalling backend servers.
+
+    Raises:
+        AssertionError: A bound is exceeded.
+    """
     _figures.clear()
-    lines = ["case       load  p50/p99/p99.9 ms without      with second copies    copies"]
+    lines = ["case       load  p50/p99/p99.9 ms unhedged     hedged                hedged fraction"]
     broken = []
     duration_s = 0.8 if short else 4.0
     for case in CASES if not short else CASES[1:3]:
@@ -220,19 +226,23 @@
             ratio = hedged.percentile_ms(99) / unhedged.percentile_ms(99)
             _figures.setdefault("p99 with / without copies", {})[f"{case.name} {load}"] = ratio
             lines.append(
-                f"{case.name:10} {load:4}  {_format_percentiles(unhedged)}  {_format_percentiles(hedged)}  {hedged.hedged_fraction:.3f}"
+                f"{case.name:10} {load:4}  {_format_percentiles(unhedged)}  "
+                f"{_format_percentiles(hedged)}  {hedged.hedged_fraction:.3f}"
             )
             if not case.same_service_time and ratio > MAX_P99_RATIO:
-                broken.append(f"{case.name} at {load}: p99 {ratio:.2f} x that without copies")
+                broken.append(f"{case.name} at {load}: p99 {ratio:.2f} x that without hedging")
             if hedged.hedged_fraction > MAX_HEDGED_FRACTION:
-                broken.append(f"{case.name} at {load}: {hedged.hedged_fraction:.3f} second copies")
+                broken.append(
+                    f"{case.name} at {load}: "
+                    f"{hedged.hedged_fraction:.3f} hedged requests per answer"
+                )
     answered = [
         Run(case=CASES[1], load=2.0, hedging=hedging, duration_s=duration_s).answered
         for hedging in (False, True)
     ]
-    lines.append(f"2 slow at 2.0: answered without {answered[0]}, with second copies {answered[1]}")
+    lines.append(f"2 slow at load 2.0: answered unhedged {answered[0]}, hedged {answered[1]}")
     if answered[1] < MIN_ANSWERED_RATIO * answered[0]:
-        broken.append("second copies lower the goodput under overload")
+        broken.append("hedged requests lower the goodput under overload")
     assert not broken, "; ".join(broken) + "\n" + "\n".join(lines)
     return lines
 
--- a/bench/keys.py
+++ b/bench/keys.py
@@ -1,4 +1,4 @@
-"""The memory of keys: bytes for each key, and the cost of a begin."""
+"""Measures the store of idempotency keys: bytes per key, and the time to begin a key."""
 
 import time
 import tracemalloc
@@ -16,7 +16,7 @@
 KEYS_FULL = 100_000
 KEYS_SHORT = 5_000
 BODY = b'{"release": "accepted", "reference": "0123456789"}'
-# A set of digests is the least that any memory of keys costs.
+# Relative to a plain set of digests, the minimum that any store of keys needs.
 MAX_BYTES_TO_DIGEST_SET_RATIO = 6.0
 MAX_COST_TO_FINGERPRINT_RATIO = 30.0
 _US_PER_S = 1e6
@@ -92,7 +92,11 @@
 
 
 def run(short: bool) -> list[str]:
-    """Measure the memory of keys."""
+    """Measure the store of idempotency keys.
+
+    Raises:
+        AssertionError: A bound is exceeded.
+    """
     count = KEYS_SHORT if short else KEYS_FULL
     answered, refused = _bytes_per_key(count, _answered), _bytes_per_key(count, _refused)
     set_bytes = _bytes_per_set_key(count)
@@ -103,17 +107,19 @@
     fingerprint_us = _time_us(count, lambda: _compute_fingerprints(count))
     lines = [
         f"keys {count}",
-        f"bytes for an answered key     {answered:8.0f}",
-        f"bytes for a refused key       {refused:8.0f}",
-        f"bytes for a digest in a set   {set_bytes:8.0f}",
-        f"begin and finish, first copy  {first_us:8.2f} us",
-        f"begin, repeat                 {begin_again_us:8.2f} us",
-        f"fingerprint alone             {fingerprint_us:8.2f} us",
+        f"bytes per answered key        {answered:8.0f}",
+        f"bytes per refused key         {refused:8.0f}",
+        f"bytes per digest in a set     {set_bytes:8.0f}",
+        f"begin and finish a new key    {first_us:8.2f} us",
+        f"begin a known key again       {begin_again_us:8.2f} us",
+        f"compute a fingerprint         {fingerprint_us:8.2f} us",
     ]
     ratio = refused / set_bytes
     assert (
         ratio <= MAX_BYTES_TO_DIGEST_SET_RATIO
-    ), f"refused key against a digest in a set: {ratio:.1f}"
+    ), f"bytes of a refused key to those of a digest in a set: ratio {ratio:.1f}"
     ratio = first_us / fingerprint_us
-    assert ratio <= MAX_COST_TO_FINGERPRINT_RATIO, f"begin against a fingerprint: {ratio:.1f}"
+    assert (
+        ratio <= MAX_COST_TO_FINGERPRINT_RATIO
+    ), f"time to begin a key to that of a fingerprint: ratio {ratio:.1f}"
     return lines
--- a/bench/locality.py
+++ b/bench/locality.py
@@ -1,11 +1,11 @@
-"""Latency when an entry prefers near backend servers, against one that takes them all alike.
+"""Compares the latency of an entry that prefers near backend servers with one that does not.
 
     python -m bench.locality
 
-Runs the real choice of backend servers and the real slot rule under a clock that jumps: one entry
-in each of three regions with its own callers, backend servers with three slots each, and the given
-latency between regions. Arrivals and service times are seeded; the order of tasks that are due
-together is trio's, and moves the figures a little.
+Runs the real choice of backend servers and the real slot pool in virtual time: one entry in each of
+three regions with its own callers, backend servers with three slots each, and a fixed latency
+between regions. Arrivals and service times are seeded; trio decides the order of tasks that are due
+at the same time, so figures vary slightly between runs.
 """
 
 from collections.abc import Mapping, Sequence
@@ -33,7 +33,7 @@
 
 
 class Load(NamedTuple):
-    """What the callers of each region send, as a part of what one region's servers can do."""
+    """The load from each region's callers, as a fraction of the capacity of one region."""
 
     name: str
     region_fractions: Sequence[float]
@@ -47,7 +47,7 @@
 
 
 class RunResult(NamedTuple):
-    """Latency of a run in milliseconds, and how many requests left their region."""
+    """Latency of a run in milliseconds, refusals, and fraction of requests that left the region."""
 
     median_ms: float
     p99_ms: float
@@ -56,26 +56,26 @@
 
 
 class RegionBlindChoice:
-    """A choice that ignores regions, as it was before."""
+    """A choice that ignores regions: the baseline of the comparison."""
 
     def __init__(self, *, choice: ServerChoice) -> None:
         self._choice = choice
 
     def candidates(self) -> Sequence[BackendServer]:
-        """The same backend servers, by name."""
+        """Return the same backend servers, sorted by address instead of distance."""
         return sorted(self._choice.candidates())
 
     def tier_of(self, server: BackendServer) -> int:
-        """One tier for all."""
+        """Return the same tier for every backend server."""
         return 0
 
     def record_taken(self, server: BackendServer) -> None:
-        """Pass it on."""
+        """Forward the taken slot to the wrapped choice."""
         self._choice.record_taken(server)
 
 
 class _Run:
-    """One run: the backend servers' real slots, the entries, and what was measured."""
+    """A run of the entries of all regions with shared backend servers."""
 
     def __init__(self, *, config: EffectiveConfig, near: bool, seed: int) -> None:
         self._config = config
@@ -87,7 +87,7 @@
         self._left_region = 0
 
     async def measure(self, load: Load, requests: int) -> RunResult:
-        """Send the load from all regions."""
+        """Send the load from all regions and return the results."""
         async with trio.open_nursery() as nursery:
             for number, fraction in enumerate(load.region_fractions):
                 nursery.start_soon(self._run_entry, f"region-{number}-a", fraction, requests)
@@ -139,13 +139,13 @@
 
 
 def measure(*, load: Load, near: bool, requests: int = 600, seed: int = 1) -> RunResult:
-    """Run one load.
+    """Measure one load.
 
     Args:
-        load: What the callers send.
+        load: The load from the callers of each region.
         near: Whether near backend servers are preferred.
-        requests: How many requests a region with a load of 1 sends.
-        seed: Of arrivals and service times.
+        requests: The number of requests from a region with a load of 1.
+        seed: The seed of arrivals and service times.
     """
     config = small_config(servers=SERVERS_PER_REGION, latency_ms=1000 * ONE_WAY_BETWEEN_REGIONS_S)
     run = _Run(config=config, near=near, seed=seed)
@@ -156,8 +156,12 @@
 
 
 def run(short: bool) -> list[str]:
-    """Measure all loads and check the bounds."""
-    lines = ["load  choice  p50 ms  p99 ms  refused  left region"]
+    """Measure all loads, the short run only the first.
+
+    Raises:
+        AssertionError: Preferring near backend servers improves latency or locality too little.
+    """
+    lines = ["load  choice  p50 ms  p99 ms  refused  left region (fraction)"]
     for load in LOADS[:1] if short else LOADS:
         results = {
             name: measure(load=load, near=near, requests=300 if short else 600)
@@ -169,7 +173,8 @@
         ), f"{results}"
         assert results["near"].median_ms < results["alike"].median_ms, f"{results}"
         lines += [
-            f"{load.name:5} {name:6} {result.median_ms:7.1f} {result.p99_ms:7.1f} {result.refused:8} "
+            f"{load.name:5} {name:6} {result.median_ms:7.1f} {result.p99_ms:7.1f} "
+            f"{result.refused:8} "
             f"{result.left_region_part:12.2f}"
             for name, result in results.items()
         ]
@@ -177,7 +182,7 @@
 
 
 def figures() -> Mapping[str, Mapping[str, float]]:
-    """For the plot."""
+    """Return the results of the last run, for the plot."""
     return {
         f"p99 at load {load}, ms": {name: result.p99_ms for name, result in results.items()}
         for load, results in _last_results.items()
--- a/bench/lookup.py
+++ b/bench/lookup.py
@@ -1,4 +1,4 @@
-"""Lookups at the later size: memory of the block table, cost of a lookup, cost of a change."""
+"""Measures lookups with many client blocks: memory of the table, cost of a lookup and a change."""
 
 import random
 import time
@@ -37,7 +37,7 @@
 
 
 def generate_client_blocks(count: int) -> list[ClientBlock]:
-    """Blocks as they come: nine tenths IPv4 of /16 to /26, nested now and then, the rest IPv6."""
+    """Generate realistic blocks: nine tenths IPv4 of /16 to /26, some nested, the rest IPv6."""
     rng = random.Random(SEED)
     blocks_by_network: dict[str, ClientBlock] = {}
     while len(blocks_by_network) < count:
@@ -57,7 +57,7 @@
 
 
 def split_into_objects(blocks: list[ClientBlock]) -> list[RegionBlocks]:
-    """The blocks as they come in the configuration: in objects of one region each."""
+    """Split blocks into objects of one region each, as the configuration contains them."""
     parts = []
     for region in REGIONS:
         networks = tuple(block.network for block in blocks if block.region == region)
@@ -105,7 +105,7 @@
 
 
 def _best_s(action: Callable[[], object], *, rounds: int = 3) -> float:
-    """Return the shortest of some runs: the others were disturbed."""
+    """Return the shortest time of several runs, which other load disturbed least."""
     best = float("inf")
     for _ in range(rounds):
         started_at = time.perf_counter()
@@ -124,7 +124,7 @@
 
 
 class _DictOfPrefixes:
-    """The plain rule: a dict for each prefix length, asked from the longest on."""
+    """The baseline: one dict for each prefix length, searched from the longest prefix on."""
 
     def __init__(self, *, blocks: list[ClientBlock]) -> None:
         by_length: dict[tuple[int, int], dict[int, str]] = {}
@@ -192,7 +192,11 @@
 
 
 def run(short: bool) -> list[str]:
-    """Measure the tables of today's and of the later size."""
+    """Measure a small and a large table.
+
+    Raises:
+        AssertionError: A bound is exceeded.
+    """
     small = _measure(BLOCKS_SMALL)
     large = _measure(BLOCKS_SHORT if short else BLOCKS_FULL)
     names = list(small)
@@ -205,16 +209,16 @@
     }
     _last["bytes"] = {"sorted arrays": large["bytes"], "dict for each length": large["dict_bytes"]}
     dict_ratio = large["bytes"] / large["dict_bytes"]
-    assert dict_ratio <= MAX_BYTES_TO_DICT_RATIO, f"bytes against a dict: {dict_ratio:.2f}"
+    assert dict_ratio <= MAX_BYTES_TO_DICT_RATIO, f"bytes relative to a dict: {dict_ratio:.2f}"
     growth = large["find_us"] / small["find_us"]
-    assert growth <= MAX_COST_GROWTH, f"cost against a small table: {growth:.2f}"
+    assert growth <= MAX_COST_GROWTH, f"cost of a lookup relative to a small table: {growth:.2f}"
     change_ratio = large["change_ms"] / large["build_ms"]
     assert (
         change_ratio <= MAX_CHANGE_TO_BUILD_RATIO
-    ), f"a change against building anew: {change_ratio:.2f}"
+    ), f"time of a change relative to a rebuild: {change_ratio:.2f}"
     return lines
 
 
 def figures() -> _Figures:
-    """What the last run measured, for the plot."""
+    """Return the results of the last run, for the plot."""
     return _last
--- a/bench/member_group.py
+++ b/bench/member_group.py
@@ -1,4 +1,4 @@
-"""Several instances of ``bench.member_process`` on loopback, for the bench and for tests."""
+"""Runs several instances of ``bench.member_process`` on loopback, for the bench and for tests."""
 
 import json
 import random
@@ -16,11 +16,11 @@
 
 
 class ProcessGroup:
-    """Instances as processes of their own, ended on exit.
+    """Runs instances as separate processes, which are killed on exit.
 
     Args:
-        count: How many.
-        settings: Those of the membership that are not the default.
+        count: The number of instances.
+        settings: The settings of the membership that differ from the defaults.
     """
 
     def __init__(self, *, count: int, settings: dict[str, Any]) -> None:
@@ -43,7 +43,7 @@
         return list(self._processes)
 
     def start(self, number: int) -> str:
-        """Start an instance, or a replacement of a killed one; return its address."""
+        """Start an instance, or the replacement of a killed instance; return its address."""
         address = f"{self._prefix}.{number}"
         self._processes[address] = subprocess.Popen(
             [sys.executable, "-m", "bench.member_process", self._prefix, str(number)]
@@ -55,28 +55,28 @@
         return address
 
     def kill(self, address: str) -> None:
-        """End an instance without a word."""
+        """Kill an instance, without notice to the others."""
         process = self._processes.pop(address)
         process.kill()
         process.communicate()
 
     def freeze(self, address: str) -> None:
-        """Stop an instance in its tracks."""
+        """Suspend an instance."""
         self._processes[address].send_signal(signal.SIGSTOP)
 
     def thaw(self, address: str) -> None:
-        """Let it go on."""
+        """Resume a suspended instance."""
         self._processes[address].send_signal(signal.SIGCONT)
 
     def command(self, address: str, line: str) -> None:
-        """Give an instance one command."""
+        """Send an instance one command line."""
         stdin = self._processes[address].stdin
         assert stdin is not None
         stdin.write(line + "\n")
         stdin.flush()
 
     def reports(self, *, but: str | None = None) -> Reports:
-        """Return the reports of all instances, but of a frozen one."""
+        """Return the reports of all instances by address, except a suspended one (`but`)."""
         processes = {
             address: process for address, process in self._processes.items() if address != but
         }
@@ -89,7 +89,11 @@
         return reports
 
     def until(self, condition: Callable[[Reports], bool], *, but: str | None = None) -> Reports:
-        """Wait until a condition holds for the reports; return them."""
+        """Wait until a condition holds for the reports; return these.
+
+        Raises:
+            AssertionError: The condition does not hold within `WAIT_TIMEOUT_S`.
+        """
         ends_at = time.monotonic() + WAIT_TIMEOUT_S
         while time.monotonic() < ends_at:
             reports = self.reports(but=but)
@@ -97,15 +101,19 @@
                 return reports
             time.sleep(POLL_INTERVAL_S)
         raise AssertionError(
-            f"not so after {WAIT_TIMEOUT_S} s with {len(self._processes)} instances"
+            f"condition not met after {WAIT_TIMEOUT_S} s with {len(self._processes)} instances"
         )
 
     def until_seen(self, key: str) -> float:
-        """Wait until all instances saw something; return when the last one did."""
+        """Wait until all instances have observed an event.
+
+        Returns:
+            The monotonic time, in seconds, at which the last instance observed it.
+        """
         reports = self.until(lambda now: all(key in address["seen"] for address in now.values()))
         return max(float(address["seen"][key]) for address in reports.values())
 
     def until_all_live(self) -> Reports:
-        """Wait until all see all."""
+        """Wait until every instance considers every instance live; return the reports."""
         live = dict.fromkeys(self.addresses, "live")
         return self.until(lambda now: all(address["states"] == live for address in now.values()))
--- a/bench/member_process.py
+++ b/bench/member_process.py
@@ -1,6 +1,6 @@
-"""One instance of the membership bench: links, membership and configuration, nothing else.
+"""Runs one instance of the membership bench: only links, membership and configuration.
 
-Takes one command a line on standard input and answers `report` by one line of JSON.
+Reads one command per line from standard input; answers `report` with one line of JSON.
 """
 
 import json
@@ -25,7 +25,7 @@
 
 
 class BenchInstance:
-    """The parts of an instance, and when it saw what."""
+    """An instance without requests, which records when it observed each event."""
 
     def __init__(self, *, prefix: str, number: int, settings: MembershipSettings) -> None:
         clock = SystemClock()
@@ -61,7 +61,7 @@
         self.membership.publish(state="live")
 
     def offer(self, version: int) -> None:
-        """Act as if the platform had delivered a version."""
+        """Offer a version of the configuration, as if the platform had delivered it."""
         objects = {
             f"workspace/{index}": {"template": "stays", "version": version if index < 3 else 0}
             for index in range(200)
@@ -71,7 +71,7 @@
             self._enforce(snapshot)
 
     def report(self) -> dict[str, object]:
-        """Return what it cost so far, and what was seen when."""
+        """Return the resources used so far, and the times at which events were observed."""
         counts = self.peers.counts
         snapshot = self.spread.current()
         return {
@@ -124,7 +124,7 @@
                     instance.membership.leave()
                 case ["load", load]:
                     instance.membership.publish(load=float(load))
-    # The bench is gone: so is its load.
+    # The bench closed standard input: end this process too.
     scope.cancel()
 
 
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -1,7 +1,8 @@
-"""What the membership costs each instance, and how fast news spreads, by the number of instances.
+"""Measures the cost of membership per instance, and propagation times, by number of instances.
 
-Real processes on loopback: links, membership and configuration, without requests. The bound is a
-ratio within the run: what an instance sends may not grow with the number of instances.
+Real processes run on loopback with links, membership and configuration, but without requests. The
+bound is a ratio within the run: the bytes an instance sends must not grow with the number of
+instances.
 """
 
 import sys
@@ -16,14 +17,14 @@
 CHANGE_INTERVAL_S = 1.5
 SETTLE_DELAY_S = 3.0
 SHORT_RUN_SETTINGS = {"reply_timeout_s": 2.0}
-"""For the short run, which shares its machine: a slow answer there is no sign of a dead instance,
-and suspicions would add traffic that has nothing to do with the number of instances."""
+"""The short run shares its machine, so instances may answer slowly; suspicions of live instances
+would add traffic that does not depend on the number of instances."""
 HEADER_BYTES = 8 + 52 + 52
-"""Length and IP and TCP headers of a small message, and of the acknowledgement it may get."""
+"""Length prefix, IP and TCP headers of a small message, and headers of its acknowledgement."""
 
 
 class Cost(NamedTuple):
-    """What one instance costs on average."""
+    """The mean cost of one instance: rates per second, memory, threads and links."""
 
     instances: int
     seconds: float
@@ -37,7 +38,7 @@
 
 
 class Change(NamedTuple):
-    """What one change of the configuration costs each instance."""
+    """The cost of one configuration change per instance."""
 
     messages: float
     bytes: float
@@ -45,7 +46,7 @@
 
 
 class Spread(NamedTuple):
-    """Seconds until all instances knew."""
+    """Seconds until all instances know of a change, a departure or a death."""
 
     config_received_s: float
     config_reported_s: float
@@ -54,7 +55,7 @@
 
 
 class Figures(NamedTuple):
-    """All that is measured of one group."""
+    """All results for one group."""
 
     idle: Cost
     change: Change
@@ -70,7 +71,7 @@
 
 
 def _measure_cost(group: ProcessGroup, work: Callable[[], None]) -> Cost:
-    """Measure what the instances cost while ``work`` is done."""
+    """Measure the cost of the instances while ``work`` runs."""
     before = group.reports()
     work()
     after = group.reports()
@@ -103,7 +104,7 @@
 
 
 def _cost_of_change(idle: Cost, busy: Cost) -> Change:
-    """What one change of the configuration costs each instance beyond idling."""
+    """Return the cost of one configuration change per instance beyond the idle cost."""
 
     def extra(busy_rate: float, idle_rate: float) -> float:
         return (busy_rate - idle_rate) * busy.seconds / CHANGES
@@ -158,9 +159,9 @@
 def measure_all(
     counts: tuple[int, ...], *, window_s: float, settings: dict[str, Any] | None = None
 ) -> tuple[dict[int, Figures], list[str]]:
-    """Measure groups of several sizes; the figures and the lines of the table."""
+    """Measure groups of several sizes; return the results by size and the table lines."""
     lines = [
-        "          |          idle, for each instance            |   one change, each    |"
+        "          |          idle, per instance                 |   change, per inst.   |"
         " s until all know",
         "instances  sent/s  bytes/s on wire*   core    MB thr links"
         " messages    bytes    ms     has    told  leave  death",
@@ -169,7 +170,7 @@
     for count in counts:
         all_figures[count] = _measure(count, window_s=window_s, settings=settings or {})
         lines.append(_format_row(all_figures[count]))
-    lines.append(f"* estimated: {HEADER_BYTES} bytes of headers and acknowledgement a message")
+    lines.append(f"* estimated: {HEADER_BYTES} bytes of headers and acknowledgement per message")
     for count, figures in all_figures.items():
         kinds = figures.idle.by_kind.items()
         text = ", ".join(f"{kind} {size:.0f}" for kind, size in kinds if size >= 1)
@@ -178,10 +179,10 @@
 
 
 def run(short: bool) -> list[str]:
-    """Measure; the lines of the table.
+    """Measure groups of several sizes; return the table lines.
 
     Raises:
-        AssertionError: What an idle instance sends grows with the number of instances.
+        AssertionError: The bytes sent by an idle instance grow with the number of instances.
     """
     if short:
         figures, lines = measure_all((9, 30), window_s=5.0, settings=SHORT_RUN_SETTINGS)
--- a/bench/moves.py
+++ b/bench/moves.py
@@ -1,11 +1,11 @@
-"""A move to backend servers with cold caches: in steps under a cap, against all at once.
+"""Compares a move to cold backend servers in steps, with and without a cap, with a move at once.
 
     python -m bench.moves
 
-Three instances with the real choice of backend servers, slot rule, board and writer of moves run
-under a clock that jumps, on a platform in memory. A backend server is slow for each thing that it
-is asked for the first time. Arrivals and service times are seeded; the order of tasks that are due
-together is trio's, and moves the figures a little.
+Three instances with the real choice of backend servers, slot pool, board and writer of moves run in
+virtual time, on a platform in memory. A backend server is slow for each key that is not in its
+cache. Arrivals and service times are seeded; trio decides the order of tasks that are due at the
+same time, so figures vary slightly between runs.
 """
 
 from collections.abc import AsyncIterator, Mapping
@@ -51,13 +51,13 @@
 
 
 class RunResult(NamedTuple):
-    """What the callers and the receiving side saw.
+    """The results of a run.
 
     Attributes:
-        median_ms: Of all requests during the move, in milliseconds.
-        p99_ms: Likewise.
-        refused: Requests refused.
-        most_in_a_second: Arrivals at the receiving side, in the fullest second.
+        median_ms: Median latency of all requests during the move, in milliseconds.
+        p99_ms: 99th percentile of their latency, in milliseconds.
+        refused: The number of refused requests.
+        max_per_second: The most arrivals at the receiving backend servers in one second.
         step: The last step that was reached.
     """
 
@@ -69,7 +69,7 @@
 
 
 class _Backends:
-    """Backend servers with caches, and the receiving side's record."""
+    """Models backend servers with caches, and records arrivals at the receiving ones."""
 
     def __init__(self, *, random: Random) -> None:
         self._random = random
@@ -78,11 +78,11 @@
         self.arrivals: list[float] = []
 
     def fill_caches(self, servers: tuple[BackendServer, ...]) -> None:
-        """Fill the caches."""
+        """Add every key to the caches of some backend servers."""
         self._cached |= {(server, key) for server in servers for key in range(OBJECTS)}
 
     async def serve(self, server: BackendServer, key: int, *, receiving: bool) -> None:
-        """Run one request."""
+        """Run one request on a backend server."""
         if receiving:
             self.arrivals.append(trio.current_time())
         cold = (server, key) not in self._cached
@@ -93,7 +93,7 @@
 
 
 class _Instance:
-    """One entry with its part in the moves."""
+    """An entry instance with its move board and move writer."""
 
     def __init__(self, *, number: int, move: Move, platform: FakePlatform) -> None:
         clock = TrioClock()
@@ -128,7 +128,7 @@
 
 
 class _Run:
-    """One move under load."""
+    """A run of one move under load."""
 
     def __init__(self, *, move: Move, seed: int) -> None:
         platform = FakePlatform()
@@ -144,7 +144,7 @@
         self._refused = 0
 
     async def measure(self, seconds: float) -> RunResult:
-        """Run the load for so long."""
+        """Run the load for a number of seconds and return the results."""
         async with trio.open_nursery() as nursery:
             for instance in self._instances:
                 nursery.start_soon(partial(instance.writer.run, interval_s=0.5))
@@ -164,7 +164,7 @@
         )
 
     async def _exchange_messages(self) -> None:
-        """What the messages between instances do, late by up to ``NEWS_S``."""
+        """Deliver the messages between instances, with a delay of up to ``MESSAGE_INTERVAL_S``."""
         while True:
             await trio.sleep(MESSAGE_INTERVAL_S)
             for sender in self._instances:
@@ -204,7 +204,7 @@
 
 
 def max_per_second(times: list[float]) -> int:
-    """The most events in any window of one second."""
+    """Return the largest number of events in any window of one second."""
     max_count = window_start = 0
     for last, time in enumerate(times):
         while time - times[window_start] >= 1.0:
@@ -214,7 +214,7 @@
 
 
 def measure(*, move: Move, seconds: float, seed: int = 1) -> RunResult:
-    """Run one move under load for so many seconds."""
+    """Measure one move under load for a number of seconds."""
 
     async def run_move() -> RunResult:
         return await _Run(move=move, seed=seed).measure(seconds)
@@ -226,9 +226,13 @@
 
 
 def run(short: bool) -> list[str]:
-    """Measure both and check the bounds."""
+    """Measure all moves.
+
+    Raises:
+        AssertionError: A cap is exceeded, a request is refused, or steps improve p99 too little.
+    """
     seconds = 15.0 if short else 40.0
-    lines = ["move              p50 ms  p99 ms  refused  most in 1 s  last step"]
+    lines = ["move              p50 ms  p99 ms  refused   max in 1 s  last step"]
     for name, move in MOVES.items():
         result = _last_results[name] = measure(move=move, seconds=seconds)
         assert result.max_per_second <= move.cap_rps, f"cap {move.cap_rps:g} exceeded: {result}"
@@ -240,12 +244,12 @@
     max_p99_ms = 0.8 * _last_results["at once"].p99_ms
     assert (
         _last_results["in steps"].p99_ms < max_p99_ms
-    ), f"p99 in steps over {max_p99_ms:.0f} ms: {_last_results}"
+    ), f"p99 in steps is not below {max_p99_ms:.0f} ms: {_last_results}"
     return lines
 
 
 def figures() -> Mapping[str, Mapping[str, float]]:
-    """For the plot."""
+    """Return the results of the last run, for the plot."""
     return {
         "p99 during a move, ms": {name: result.p99_ms for name, result in _last_results.items()}
     }
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,11 +1,11 @@
-"""What the choice of backend servers is worth, on a model of the two deployments of today.
+"""Measures the choice of backend servers on models of several deployments.
 
     python -m bench.placement
     python -m bench.placement --seconds 30 --set cached_fraction.TARGET_UTILISATION=0.5 \
         --plot out.png
 
-``--set`` replaces constants of ``wagtailpoint.placement`` for one run, to try an idea before it is
-played on the users' bench. Two seeds differ by about 0.01 of worth.
+``--set`` replaces constants of ``wagtailpoint.placement`` for one run, to try a value quickly. The
+worth varies by about 0.01 between seeds.
 """
 
 import importlib
@@ -34,7 +34,7 @@
 FULL_S = 24.0
 MIN_WORTH = 0.85
 MIN_DOMAIN_WORTH = 0.75
-"""Bounds against a fall; over 12 s with two seeds 0.935 and 0.915 or more were measured."""
+"""Lower bounds of a deployment's worth and of its worst failure domain, against regressions."""
 
 SURAKKHA = Deployment(
     region_of={
@@ -146,8 +146,7 @@
 )
 VITAMINS_LOADED = VITAMINS._replace(load=2.3)
 VITAMINS_OVERLOADED = VITAMINS._replace(load=3.2)
-"""Places, backend servers and work as the users' pages have them; the load of a calm day, and what
-the newest of them has to bear on a day of high load."""
+"""A deployment with four services: at the load of a calm day, and at two higher loads."""
 
 _LARGE_DOMAINS = (
     *("salt-lake", "new-town", "garia"),
@@ -158,7 +157,7 @@
 
 
 def _by_region(*counts: int) -> dict[str, int]:
-    """So many in each of the three failure domains of each region."""
+    """Return counts by failure domain, given the count in each failure domain of a region."""
     return {domain: counts[number // 3] for number, domain in enumerate(_LARGE_DOMAINS)}
 
 
@@ -182,8 +181,8 @@
     keys_per_region=True,
 )
 LARGE_SPREAD = LARGE._replace(instances=_by_region(25, 20, 21))
-"""Hundreds of backend servers that remember few objects each: behind three entries in each failure
-domain, and behind all instances."""
+"""Hundreds of backend servers with small caches: behind three entries in each failure domain, and
+behind all instances."""
 
 SHIFTED = SURAKKHA._replace(
     instances=dict.fromkeys(SURAKKHA.region_of, 3),
@@ -216,8 +215,8 @@
     swing=0.55,
 )
 SHIFTED_LOADED = SHIFTED._replace(load=1.8)
-"""Long requests, which are in time only where their objects are cached; the load of a calm day, and
-of one of high load."""
+"""Long requests, which meet their objective only where their objects are cached: at the load of a
+calm day, and at a high load."""
 
 DEPLOYMENTS: Mapping[str, Deployment] = {
     "surakkha": SURAKKHA,
@@ -233,13 +232,14 @@
     "shifted": SHIFTED,
     "shifted-loaded": SHIFTED_LOADED,
 }
-"""In these most objects are asked for once in some seconds: they are still met for the first time
-when those of the others have been cached, so the bounds of a short run say nothing of them."""
+"""Deployments in which most objects are requested only once in several seconds. In a short run
+their caches are still filling, so the bounds of the short run do not apply to them."""
 
 ALL_DEPLOYMENTS: Mapping[str, Deployment] = {**DEPLOYMENTS, **WARMING_DEPLOYMENTS}
 
 FAULTS = (Fault(10.0, 4.0, "gal-b"), Fault(18.0))
-"""A failure domain loses its backend servers, and gets them back empty; all instances restart."""
+"""A failure domain loses its backend servers, which return with empty caches; later all instances
+restart."""
 
 _last_outcomes: dict[str, Sequence[Outcome]] = {}
 
@@ -247,7 +247,7 @@
 def simulate(
     name: str, *, seconds: float, seed: int = 1, faults: Sequence[Fault] = ()
 ) -> Sequence[Outcome]:
-    """Play one deployment and remember what came of it, for the plot."""
+    """Simulate one deployment, and keep the outcomes for the plot."""
     model = SystemModel(deployment=ALL_DEPLOYMENTS[name], seed=seed, faults=faults)
     outcomes = model.simulate(seconds)
     _last_outcomes[name] = outcomes
@@ -255,7 +255,7 @@
 
 
 def describe(name: str, outcomes: Sequence[Outcome]) -> list[str]:
-    """The lines of a table."""
+    """Return the table lines of one deployment."""
     domains = worth_by(outcomes, "domain")
     worst = min(domains, key=lambda domain: domains[domain])
     shift = largest_shift(outcomes, ALL_DEPLOYMENTS[name].region_of)
@@ -274,7 +274,11 @@
 
 
 def run(short: bool) -> list[str]:
-    """Play both deployments and check the bounds."""
+    """Simulate the deployments that have bounds.
+
+    Raises:
+        AssertionError: A worth is too low, or too many requests changed regions.
+    """
     lines = []
     for name, deployment in DEPLOYMENTS.items():
         outcomes = simulate(name, seconds=SHORT_S if short else FULL_S)
@@ -286,12 +290,14 @@
             min_domain_worth >= MIN_DOMAIN_WORTH
         ), f"{name}: worst failure domain {min_domain_worth:.3f}"
         shift = largest_shift(warm_outcomes, deployment.region_of)
-        assert shift <= 2 * MAX_SHIFT_FRACTION, f"{name}: {shift:.2f} of a region's requests moved"
+        assert (
+            shift <= 2 * MAX_SHIFT_FRACTION
+        ), f"{name}: {shift:.2f} of a region's requests changed regions"
     return lines
 
 
 def figures() -> Mapping[str, Mapping[str, float]]:
-    """For the plot: worth by failure domain, by class and by second."""
+    """Return the worth by failure domain, class and second of the last runs, for the plot."""
     return {
         f"{name}: worth by {title}": worth_by(outcomes, field)
         for name, outcomes in _last_outcomes.items()
@@ -300,11 +306,15 @@
 
 
 @click.command()
-@click.option("--seconds", default=FULL_S, help="How long to play, in seconds of the model.")
-@click.option("--seed", default=1, help="Of arrivals and service times.")
+@click.option("--seconds", default=FULL_S, help="Simulated time in seconds.")
+@click.option("--seed", default=1, help="Seed of arrivals and service times.")
 @click.option("--set", "changes", multiple=True, help="MODULE.CONSTANT=NUMBER of placement/.")
-@click.option("--only", multiple=True, help="A deployment; may be repeated.")
-@click.option("--faults", is_flag=True, help="Lose a failure domain, and all instances.")
+@click.option("--only", multiple=True, help="A deployment to simulate; may be repeated.")
+@click.option(
+    "--faults",
+    is_flag=True,
+    help="Simulate the loss of a failure domain, then a restart of all instances.",
+)
 @click.option("--plot", type=click.Path(path_type=Path), help="Write a PNG of the figures.")
 def main(
     *,
@@ -315,7 +325,7 @@
     faults: bool,
     plot: Path | None,
 ) -> None:
-    """Play both deployments, with some constants replaced."""
+    """Simulate deployments, optionally with replaced constants."""
     with ExitStack() as stack:
         for change in changes:
             constant_path, _, number = change.partition("=")
@@ -323,7 +333,7 @@
             module = importlib.import_module(f"wagtailpoint.placement.{module_name}")
             if not hasattr(module, constant):
                 raise click.BadParameter(
-                    f"given {constant_path}, expected a constant of that module"
+                    f"given {constant_path}, expected a constant of a module of placement/"
                 )
             stack.enter_context(patch.object(module, constant, float(number)))
         for name in only or ALL_DEPLOYMENTS:
--- a/bench/plain_server.py
+++ b/bench/plain_server.py
@@ -1,4 +1,4 @@
-"""Hypercorn alone, as it comes: the baseline of the entry's processor time."""
+"""Hypercorn with default settings: the baseline of the entry's processor time."""
 
 import click
 import trio
@@ -11,7 +11,7 @@
 @click.option("--port", type=int, required=True)
 @click.option("--body-bytes", type=int, default=1000)
 def main(address: str, port: int, body_bytes: int) -> None:
-    """Answer every request with the same body until killed."""
+    """Answer every request with the same body until the process is killed."""
     body = b"x" * body_bytes
     headers = [(b"content-length", str(body_bytes).encode())]
 
--- a/bench/rounds.py
+++ b/bench/rounds.py
@@ -1,13 +1,13 @@
-"""Rounds of measurements: days of a whole deployment, several seeds each, and what changed.
+"""Runs simulated days of a whole deployment with several seeds, and compares two such rounds.
 
     python -m bench.rounds play PROGRAM SITE --day trouble-1 --seeds 3 --out DIR --why WHY
     python -m bench.rounds show DIR
     python -m bench.rounds compare BEFORE AFTER
     python -m bench.rounds plot DIR [DIR ...] --to PLOT.png
 
-PROGRAM plays one day (``PROGRAM run SITE DAY --seed N --report FILE``) and is not part of this
-repository. Two sets of sources are compared over the same days and seeds; the standard error of the
-mean difference says how much of it may be chance.
+PROGRAM simulates one day (``PROGRAM run SITE DAY --seed N --report FILE``) and is not part of this
+repository. Two versions of the sources are compared over the same days and seeds; the standard
+error of the mean difference tells how much of the difference may be random variation.
 """
 
 import math
@@ -23,15 +23,15 @@
 import msgspec
 
 FIRST_SEED = 1001
-"""Seeds count from here; 0 stands for the day's own one."""
+"""The first seed after 0; 0 stands for the seed that the day itself defines."""
 
 
 class Play(NamedTuple):
-    """One day to play.
+    """One run of a day.
 
     Attributes:
-        day: Its name.
-        seed: Its luck; 0 for its own.
+        day: The name of the day.
+        seed: The random seed; 0 for the seed that the day defines.
     """
 
     day: str
@@ -39,20 +39,20 @@
 
     @property
     def file_name(self) -> str:
-        """Where its report is kept, in the folder of its round."""
+        """The name of the report file within the folder of the round."""
         return f"{Path(self.day).stem}.{self.seed}.json"
 
 
 class Report(NamedTuple):
-    """What one day gave.
+    """The results of one run of a day.
 
     Attributes:
-        worth: What was earned, less prices.
-        parts: The shares that the worth is made of, by name, and the sum of all prices.
+        worth: The score of the day: earnings minus prices, as a fraction of the maximum.
+        parts: The components of the worth by name, and the sum of all prices.
         by_class: Worth by kind of request.
         by_domain: Worth by failure domain of the callers.
-        by_window: Worth by two seconds.
-        broken: The rules that were broken.
+        by_window: Worth by window of two seconds.
+        broken: The names of the rules that were violated.
     """
 
     worth: float
@@ -64,7 +64,7 @@
 
 
 def read_report(path: Path) -> Report:
-    """Read the report of one day."""
+    """Read the report of one run."""
     document: dict[str, Any] = msgspec.json.decode(path.read_bytes())
     totals = document["all"]
     sent = max(1, totals["n"])
@@ -93,7 +93,7 @@
 
 
 def read_round(folder: Path) -> dict[Play, Report]:
-    """Read all reports of a round."""
+    """Read all reports in the folder of a round."""
     found = {}
     for path in sorted(folder.glob("*.json")):
         day, seed = path.stem.rsplit(".", 1)
@@ -102,7 +102,7 @@
 
 
 def compute_means(reports: Iterable[Report], group: str) -> dict[str, float]:
-    """The means over several days of one group of values."""
+    """Return the mean over several reports of each value in one group (a field of `Report`)."""
     values: dict[str, list[float]] = defaultdict(list)
     for report in reports:
         for name, value in getattr(report, group).items():
@@ -111,16 +111,16 @@
 
 
 def describe(plays: Mapping[Play, Report]) -> list[str]:
-    """The lines of a table: each day over its seeds, then the parts over all."""
+    """Return table lines: the worth of each day over its seeds, then the parts over all runs."""
     by_day: dict[str, list[Report]] = defaultdict(list)
     for play, report in plays.items():
         by_day[play.day].append(report)
     lines = []
     for day, reports in by_day.items():
-        worth_by_name = [report.worth for report in reports]
-        spread = stdev(worth_by_name) if len(worth_by_name) > 1 else 0.0
-        each = " ".join(f"{worth:.3f}" for worth in worth_by_name)
-        lines.append(f"{day:28} worth {mean(worth_by_name):.3f} spread {spread:.3f}  ({each})")
+        worths = [report.worth for report in reports]
+        spread = stdev(worths) if len(worths) > 1 else 0.0
+        listed = " ".join(f"{worth:.3f}" for worth in worths)
+        lines.append(f"{day:28} worth {mean(worths):.3f} spread {spread:.3f}  ({listed})")
     lines.append(f"{'mean of all':28} worth {mean(r.worth for r in plays.values()):.3f}")
     for group in ("parts", "by_class", "by_domain"):
         for name, value in compute_means(plays.values(), group).items():
@@ -132,7 +132,7 @@
 
 
 def compare_rounds(before: Mapping[Play, Report], after: Mapping[Play, Report]) -> list[str]:
-    """The lines of a table: what changed on the plays that both rounds have."""
+    """Return table lines: the differences on the days and seeds that both rounds contain."""
     common = [play for play in before if play in after]
     differences = [after[play].worth - before[play].worth for play in common]
     lines = []
@@ -140,7 +140,7 @@
     for play in common:
         by_day[play.day].append(play)
     for day, plays in by_day.items():
-        was, is_now = (mean(each[play].worth for play in plays) for each in (before, after))
+        was, is_now = (mean(reports[play].worth for play in plays) for reports in (before, after))
         lines.append(f"{day:28} {was:.3f} -> {is_now:.3f}  {is_now - was:+.3f}")
     error = stdev(differences) / math.sqrt(len(differences)) if len(differences) > 1 else 0.0
     lines.append(
@@ -161,18 +161,27 @@
 
 @click.group()
 def main() -> None:
-    """Measure two sets of sources over the same days and seeds."""
+    """Measure and compare versions of the sources over the same days and seeds."""
 
 
 @main.command("play")
 @click.argument("program", type=click.Path(exists=True, path_type=Path))
 @click.argument("site", type=click.Path(exists=True, path_type=Path))
-@click.option("--day", "days", multiple=True, required=True, help="May be repeated.")
-@click.option("--seeds", type=click.IntRange(min=1), default=3, help="Its own one, and others.")
-@click.option("--jobs", type=click.IntRange(min=1), default=4, help="Days at the same time.")
-@click.option("--out", type=click.Path(path_type=Path), required=True, help="For the reports.")
-@click.option("--why", required=True, help="Goes into the journal.")
-@click.option("--no-cpu", is_flag=True, help="Processor time is not counted; runs repeat.")
+@click.option("--day", "days", multiple=True, required=True, help="A day to run; may be repeated.")
+@click.option(
+    "--seeds",
+    type=click.IntRange(min=1),
+    default=3,
+    help="Seeds per day, the first being the day's own.",
+)
+@click.option("--jobs", type=click.IntRange(min=1), default=4, help="Runs at the same time.")
+@click.option(
+    "--out", type=click.Path(path_type=Path), required=True, help="Folder for the reports."
+)
+@click.option("--why", required=True, help="Reason for the round, for PROGRAM's journal.")
+@click.option(
+    "--no-cpu", is_flag=True, help="Ignore processor time, so that runs are reproducible."
+)
 def play_command(
     *,
     program: Path,
@@ -184,7 +193,7 @@
     why: str,
     no_cpu: bool,
 ) -> None:
-    """Play days, several seeds each, and keep their reports."""
+    """Run days with several seeds each, and write their reports."""
     out.mkdir(parents=True, exist_ok=True)
     subprocess.run([program, "build"], check=True, capture_output=True)
     plays = [
@@ -219,15 +228,15 @@
 @click.argument("before", type=click.Path(exists=True, path_type=Path))
 @click.argument("after", type=click.Path(exists=True, path_type=Path))
 def compare_command(*, before: Path, after: Path) -> None:
-    """Print what changed from one round to another."""
+    """Print the differences between two rounds."""
     click.echo("\n".join(compare_rounds(read_round(before), read_round(after))))
 
 
 @main.command("plot")
 @click.argument("folders", nargs=-1, required=True, type=click.Path(exists=True, path_type=Path))
-@click.option("--to", type=click.Path(path_type=Path), required=True, help="A PNG file.")
+@click.option("--to", type=click.Path(path_type=Path), required=True, help="The PNG file to write.")
 def plot_command(*, folders: Sequence[Path], to: Path) -> None:
-    """Draw the worth by two seconds of each day, one line a round."""
+    """Plot the worth per window of two seconds for each day, one line per round."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -241,7 +250,9 @@
             reports = [report for play, report in found.items() if play.day == day]
             windows = compute_means(reports, "by_window")
             seconds = sorted(windows, key=float)
-            axis.plot([float(at) for at in seconds], [windows[at] for at in seconds], label=name)
+            axis.plot(
+                [float(text) for text in seconds], [windows[text] for text in seconds], label=name
+            )
         axis.set_title(day, fontsize=9)
         axis.set_ylim(0, 1)
     axes[0, 0].legend(fontsize=8)
--- a/bench/run.py
+++ b/bench/run.py
@@ -1,8 +1,8 @@
-"""The bench: `python -m bench.run short|full`. Each module in this folder measures one thing.
+"""Runs the benches: `python -m bench.run short|full`. Each bench is a module of this folder.
 
-A module has ``run(short: bool) -> list[str]``, which returns the lines of its table and raises
-``AssertionError`` when one of its bounds is broken. It may also have ``figures()``, which returns
-what its last run measured as ``{panel: {label: value}}``; the full bench draws that.
+A bench module has ``run(short: bool) -> list[str]``, which returns the lines of its table and
+raises ``AssertionError`` when one of its bounds is exceeded. It may also have ``figures()``, which
+returns the results of its last run as ``{panel: {label: value}}`` for the plot of the full bench.
 """
 
 import importlib
@@ -35,14 +35,14 @@
 
 
 class ModuleResult(NamedTuple):
-    """What became of one module.
+    """The result of one bench module.
 
     Attributes:
-        name: The module.
-        lines: Its table.
-        figures: What it measured, for the plot.
-        took_s: How long it ran, in seconds.
-        broken: The bound that it broke, None if all held.
+        name: The name of the module, without its package.
+        lines: The lines of its table.
+        figures: The measured values, for the plot.
+        took_s: The duration of the run in seconds.
+        broken: The message of the exceeded bound; None if all bounds held.
     """
 
     name: str
@@ -53,7 +53,7 @@
 
 
 def find_modules(names: Sequence[str] = MODULES) -> list[ModuleType]:
-    """The modules of the bench that exist and can be run."""
+    """Return the named bench modules that exist and have a ``run`` function."""
     found = [
         importlib.import_module(f"bench.{name}")
         for name in names
@@ -63,7 +63,7 @@
 
 
 def measure(module: ModuleType, *, short: bool) -> ModuleResult:
-    """Run one module; a broken bound is reported, not raised, so that the others run too."""
+    """Run one module; return an exceeded bound in the result, so that other modules still run."""
     started_at = time.monotonic()
     lines: list[str] = []
     broken = None
@@ -77,7 +77,7 @@
 
 
 def write_results(result: ModuleResult, directory: Path) -> None:
-    """Write what one module measured: its table and figures as JSON, and a plot if it has any."""
+    """Write the table and figures of one module as JSON, and a plot if it has figures."""
     directory.mkdir(exist_ok=True)
     text = json.dumps(result._asdict(), indent=2)
     (directory / f"{result.name}.json").write_text(text + "\n")
@@ -86,8 +86,8 @@
 
 
 def write_plot(panels: Figures, path: Path) -> None:
-    """Write a plot with a panel of bars for each group of figures."""
-    # Imported late: it takes a second, which the short bench need not spend.
+    """Write a PNG plot with one panel of bars for each group of figures."""
+    # The import takes a second, so the short bench, which draws nothing, avoids it.
     from matplotlib.figure import Figure
 
     figure = Figure(figsize=(5.0 * len(panels), 4.0), layout="constrained")
@@ -100,13 +100,16 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run every module.
+    """Run every bench module.
 
     Returns:
-        1 if a bound is broken, else 0.
+        The exit code: 0, 1 if a bound is exceeded, or 2 for a wrong argument.
     """
     if list(arguments) not in (["short"], ["full"]):
-        print(f"given {' '.join(arguments)!r}, expected short or full", file=sys.stderr)
+        print(
+            f"invalid arguments: given {' '.join(arguments)!r}, expected short or full",
+            file=sys.stderr,
+        )
         return 2
     short = list(arguments) == ["short"]
     exit_code = 0
--- a/bench/system_model.py
+++ b/bench/system_model.py
@@ -1,10 +1,10 @@
-"""A small model of a deployment: callers, instances with the real placement, backend servers.
+"""Simulates a deployment: callers, instances with the real placement, and backend servers.
 
-For quick rounds on the choice of backend servers: what the users' bench plays in a minute runs here
-in seconds, under a clock that jumps. The decisions are the product's own (``placement/``). Modelled
-are round trips, slots, queues, caches of backend servers, the price of bytes, and callers that come
-back once when they are refused; not modelled are connections, faults and processor time. So the
-figures compare one setting with another; they do not foretell what a deployment earns.
+The simulation runs in virtual time, so that settings of the choice of backend servers can be
+compared within seconds. The decisions are those of the real ``placement/``. Modelled are round
+trips, slots, queues, caches of backend servers, the price of bytes, lost backend servers, restarts,
+and callers that retry once when refused; not modelled are connections and processor time.
+The figures therefore compare settings; they do not predict the worth of a real deployment.
 """
 
 import math
@@ -39,23 +39,23 @@
 WINDOW_S = 2.0
 SWING_PERIOD_S = 36.0
 HEADER_BYTES = 900
-"""Of a request and its reply together."""
+"""Bytes of headers of a request and its reply together."""
 
 
 class RequestClass(NamedTuple):
-    """What callers send.
+    """A class of requests.
 
     Attributes:
-        name: For the tables.
-        service: The service that serves it.
-        rate: Requests a second from the callers of each failure domain.
-        work_s: Seconds of work for an object that is not cached.
-        objective_s: An answer within this time has its full value.
-        deadline_s: The callers' patience.
-        value: Of an answer in time.
-        keys: How many objects there are.
-        reply_bytes: The size of an answer.
-        priority: 0 is the most urgent.
+        name: The name in tables.
+        service: The service that serves the requests.
+        rate: Requests per second from the callers of each failure domain.
+        work_s: Mean service time in seconds for an object that is not cached.
+        objective_s: Latency in seconds up to which an answer has its full value.
+        deadline_s: Time in seconds after which callers give up.
+        value: The value of an answer in time.
+        keys: The number of different objects.
+        reply_bytes: The size of an answer in bytes.
+        priority: The priority; 0 is the most urgent.
     """
 
     name: str
@@ -71,22 +71,24 @@
 
 
 class Deployment(NamedTuple):
-    """The places, the backend servers and the load.
+    """The failure domains, backend servers and load of a deployment.
 
     Attributes:
         region_of: The region of each failure domain.
-        instances: Instances in each failure domain.
-        servers: Backend servers of each service in each failure domain.
-        cache: Objects that a backend server of each service keeps.
-        slots: Of each backend server of each service.
-        in_region_s: The way between failure domains of a region and back, in seconds.
-        between_regions_s: The same between regions.
-        domain_price: Of a gigabyte between failure domains of a region, where an answer is worth 1.
-        region_price: Of a gigabyte between regions.
-        classes: What callers send.
-        load: So many times what callers usually send.
-        swing: The part by which the callers of a region send more and less, by turns.
-        own_keys: The callers of each region ask for objects of their own.
+        instances: The number of instances in each failure domain.
+        servers: The number of backend servers of each service in each failure domain.
+        cache_size: The number of objects that a backend server of each service caches.
+        slots: The slots of a backend server of each service.
+        in_region_s: Round-trip time between failure domains of a region, in seconds.
+        between_regions_s: Round-trip time between regions, in seconds.
+        domain_price: Price of a gigabyte between failure domains of a region, where an answer is
+            worth 1.
+        region_price: Price of a gigabyte between regions, likewise.
+        classes: The classes of requests that callers send.
+        load: The factor by which the rates of all classes are multiplied.
+        swing: The amplitude, as a fraction, by which each region's rate oscillates; the phases of
+            the regions differ.
+        keys_per_region: Whether the callers of each region request separate objects.
     """
 
     region_of: Mapping[str, str]
@@ -104,14 +106,14 @@
     keys_per_region: bool = False
 
     def rate(self, request_class: RequestClass, domain: str, now: float) -> float:
-        """Requests a second that the callers of a failure domain send."""
+        """Return the requests/s of one class from a failure domain at a time in seconds."""
         regions = sorted(set(self.region_of.values()))
         phase = regions.index(self.region_of[domain]) / len(regions)
         wave = 1.0 + self.swing * math.sin(2 * math.pi * (now / SWING_PERIOD_S + phase))
         return request_class.rate * self.load * wave
 
     def price(self, origin: str, destination: str, reply_bytes: float) -> float:
-        """What the bytes of a request and its reply cost."""
+        """Return the price of the bytes of a request and its reply between two failure domains."""
         if origin == destination:
             return 0.0
         same = self.region_of[origin] == self.region_of[destination]
@@ -119,7 +121,7 @@
         return per_gb * (reply_bytes + HEADER_BYTES) / 1e9
 
     def round_trip_s(self, origin: str, destination: str) -> float:
-        """The way from one failure domain to another one and back, in seconds."""
+        """Return the round-trip time between two failure domains, in seconds."""
         if origin == destination:
             return 0.0004
         same = self.region_of[origin] == self.region_of[destination]
@@ -127,13 +129,13 @@
 
 
 class Fault(NamedTuple):
-    """What goes wrong in a run.
+    """A fault during a run.
 
     Attributes:
-        at_s: When, in seconds from the start.
-        for_s: For how long the backend servers are away; 0 if instances start again instead.
-        domain: The failure domain whose backend servers are lost, and come back with nothing
-            cached; empty for all instances, which start again and know nothing.
+        at_s: The time of the fault, in seconds from the start.
+        duration_s: How long the backend servers are lost, in seconds; 0 for a restart of instances.
+        domain: The failure domain whose backend servers are lost and return with empty caches;
+            empty for a restart of all instances, which then have learned nothing.
     """
 
     at_s: float
@@ -142,17 +144,17 @@
 
 
 class Outcome(NamedTuple):
-    """What became of one request.
+    """The outcome of one request.
 
     Attributes:
-        began: When the caller sent it, in seconds from the start.
-        domain: The caller's failure domain.
-        name: Its class.
-        value: What an answer in time was worth.
-        earned: What was earned.
-        refused: It was refused twice.
-        ran_in: The region where it ran; empty if nowhere.
-        price: What its bytes cost.
+        began: When the caller sent the request, in seconds from the start.
+        domain: The failure domain of the caller.
+        name: The name of the request's class.
+        value: The value of an answer in time.
+        earned: The value of the actual answer; 0 if there was none.
+        refused: Whether the request was refused twice.
+        ran_in: The region where the request ran; empty if it was refused.
+        price: The price of the transferred bytes.
     """
 
     began: float
@@ -166,7 +168,7 @@
 
 
 class ModelServer:
-    """One backend server: slots, a short queue, a cache of objects."""
+    """Models a backend server with slots, a short queue and a cache of objects."""
 
     def __init__(self, *, entry: ServerEntry, cache_size: int, random: Random) -> None:
         self.entry = entry
@@ -179,11 +181,11 @@
 
     @property
     def report(self) -> LoadReport:
-        """What it tells with an answer."""
+        """The load report that the backend server sends with an answer."""
         return LoadReport(self._running, self._waiting, self.entry.slots)
 
     async def serve(self, key: str, work_s: float, remaining_s: float) -> bool:
-        """Run a request; False if the queue is full or its time is over."""
+        """Run a request; return False if the queue is full or ``remaining_s`` ends first."""
         if self._waiting >= MAX_QUEUED:
             return False
         self._waiting += 1
@@ -213,15 +215,15 @@
 
 
 class SystemModel:
-    """One run of a deployment."""
+    """Simulates one run of a deployment."""
 
     def __init__(self, *, deployment: Deployment, seed: int, faults: Sequence[Fault] = ()) -> None:
-        """Make it.
+        """Initialise the simulation.
 
         Args:
-            deployment: What is played.
-            seed: Of arrivals and service times.
-            faults: What goes wrong.
+            deployment: The deployment to simulate.
+            seed: The seed of arrivals and service times.
+            faults: The faults that occur during the run.
         """
         self._deployment = deployment
         self._faults = faults
@@ -231,7 +233,7 @@
         self.outcomes: list[Outcome] = []
 
     def simulate(self, seconds: float) -> Sequence[Outcome]:
-        """Play so many seconds of load and return what became of the requests."""
+        """Simulate a number of seconds of load and return the outcomes of the requests."""
         logger.disable("wagtailpoint")
         try:
             trio.run(self._simulate, seconds, clock=MockClock(autojump_threshold=0.0))
@@ -266,8 +268,8 @@
                 ]
             return
         lost = [
-            outcome
-            for outcome in self._servers.values()
+            server
+            for server in self._servers.values()
             if server.entry.failure_domain == fault.domain
         ]
         for server in lost:
@@ -318,8 +320,8 @@
             everywhere=instances,
             in_region=sum(
                 count
-                for destination, count in deployment.instances.items()
-                if deployment.region_of[destination] == region
+                for other_domain, count in deployment.instances.items()
+                if deployment.region_of[other_domain] == region
             ),
             in_domain=deployment.instances[domain],
         )
@@ -401,7 +403,11 @@
         key: str,
         began: float,
     ) -> str:
-        """Send it once; return the failure domain where it ran, empty if it was refused."""
+        """Send a request once.
+
+        Returns:
+            The failure domain where the request ran; empty if it was refused.
+        """
         elapsed_s = trio.current_time() - began
         remaining_s = request_class.deadline_s - elapsed_s
         demand = Demand(
@@ -423,7 +429,7 @@
         await trio.sleep(one_way_s)
         server = self._servers.get(choice.entry.server_id)
         if server is None:
-            # It was lost on the way; the caller comes back once.
+            # The backend server was lost while the request was in transit; the caller retries once.
             placement.record_end(choice.entry, underway)
             return ""
         ran = await server.serve(key, request_class.work_s, max(0.0, remaining_s - one_way_s))
@@ -452,19 +458,19 @@
 
 
 def worth(outcomes: Sequence[Outcome]) -> float:
-    """What was earned of what could have been, 0 to 1."""
+    """Return the earned value as a fraction (0 to 1) of the possible value."""
     owed = sum(outcome.value for outcome in outcomes)
     return sum(outcome.earned for outcome in outcomes) / owed if owed else 0.0
 
 
 def prices(outcomes: Sequence[Outcome]) -> float:
-    """What bytes cost, as a part of what could have been earned."""
+    """Return the price of all bytes as a fraction of the possible value."""
     owed = sum(outcome.value for outcome in outcomes)
     return sum(outcome.price for outcome in outcomes) / owed if owed else 0.0
 
 
 def worth_by(outcomes: Sequence[Outcome], field: str) -> dict[str, float]:
-    """The same by a field of the outcomes; ``began`` by the second."""
+    """Return the worth for each value of a field of the outcomes; ``began`` by whole seconds."""
     groups: dict[str, list[Outcome]] = defaultdict(list)
     for outcome in outcomes:
         value = getattr(outcome, field)
@@ -473,7 +479,7 @@
 
 
 def largest_shift(outcomes: Sequence[Outcome], region_of: Mapping[str, str]) -> float:
-    """The largest part of a region's requests that changed regions between two windows."""
+    """Return the largest fraction of a region's requests that changed regions between windows."""
     windows: dict[tuple[str, int], Counter[str]] = defaultdict(Counter)
     for outcome in outcomes:
         if outcome.ran_in:
--- a/tests/cover/test_bench_run.py
+++ b/tests/cover/test_bench_run.py
@@ -1,4 +1,4 @@
-"""The bench's runner."""
+"""The runner of the benches: an exceeded bound fails the run without hiding other results."""
 
 import json
 import tempfile
--- a/tests/cover/test_rounds.py
+++ b/tests/cover/test_rounds.py
@@ -1,4 +1,4 @@
-"""The comparison of two sets of sources over the same days and seeds."""
+"""Reading and comparing rounds: only runs of the same day and seed may be compared."""
 
 import unittest
 from pathlib import Path
@@ -22,7 +22,7 @@
         self.assertIn("0.550 -> 0.600  +0.050", lines[0])
         self.assertIn("+0.0500 (standard error 0.0500, 2 plays)", lines[1])
 
-    def test_broken_rules_are_said(self) -> None:
+    def test_broken_rules_are_printed(self) -> None:
         plays = {Play("d", 3): report(0.5, ("TWICE",))}
         self.assertEqual(describe(plays)[-1], "BROKEN d seed 3: TWICE")
         self.assertEqual(compare_rounds(plays, plays)[-1], "BROKEN d seed 3: TWICE")
--- a/tests/cover/test_system_model.py
+++ b/tests/cover/test_system_model.py
@@ -1,4 +1,4 @@
-"""The model of a deployment on which placement is tried."""
+"""The simulated deployment used to compare settings of placement."""
 
 import unittest
 
@@ -14,14 +14,14 @@
 
 
 class FiguresTest(unittest.TestCase):
-    def test_worth_is_what_was_earned_of_what_was_owed(self) -> None:
+    def test_worth_is_earned_fraction_of_possible_value(self) -> None:
         outcomes = [outcome(0.1, "a"), outcome(1.2, "a", 0.2), outcome(1.3, "", 0.0, "b-1")]
         self.assertAlmostEqual(worth(outcomes), 0.4)
         self.assertAlmostEqual(prices(outcomes), 0.1)
         self.assertEqual(worth_by(outcomes, "domain"), {"a-1": 0.6, "b-1": 0.0})
         self.assertEqual(worth_by(outcomes, "began"), {"00": 1.0, "01": 0.1})
 
-    def test_shift_is_the_part_that_changed_regions(self) -> None:
+    def test_shift_is_the_fraction_that_changed_regions(self) -> None:
         before = [outcome(0.1, "a") for _ in range(8)] + [outcome(0.2, "b") for _ in range(2)]
         after = [outcome(2.1, "a") for _ in range(5)] + [outcome(2.2, "b") for _ in range(5)]
         self.assertAlmostEqual(largest_shift(before + after, REGION_OF), 0.3)
@@ -29,7 +29,7 @@
 
 
 class SystemModelTest(unittest.TestCase):
-    def test_two_servers_of_a_region_are_not_given_what_others_can_serve(self) -> None:
+    def test_region_with_two_servers_sends_requests_to_other_regions(self) -> None:
         """Kolkata has two of 24 backend servers, and as many callers as the other regions."""
         outcomes = SystemModel(deployment=SURAKKHA, seed=1).simulate(3.0)
         kolkata = [each for each in outcomes if SURAKKHA.region_of[each.domain] == "kolkata"]
@@ -37,7 +37,7 @@
         self.assertGreater(away, len(kolkata) / 3)
         self.assertLess(sum(each.refused for each in outcomes), len(outcomes) / 20)
 
-    def test_lost_failure_domain_is_noticed_and_comes_back(self) -> None:
+    def test_lost_failure_domain_is_avoided_and_used_again_after_recovery(self) -> None:
         faults = (Fault(1.0, 1.0, "matigara"),)
         outcomes = SystemModel(deployment=SURAKKHA, seed=1, faults=faults).simulate(4.0)
         away = [each for each in outcomes if 1.3 < each.began < 1.8]
@@ -45,7 +45,7 @@
         self.assertGreater(worth(back), 0.8)
         self.assertLess(sum(each.refused for each in away), len(away) / 4)
 
-    def test_callers_of_regions_by_turns(self) -> None:
+    def test_rates_of_regions_oscillate_with_different_phases(self) -> None:
         request_class = VITAMINS.classes[0]
         rates = [
             VITAMINS.rate(request_class, domain, 9.0) for domain in ("dub-a", "cork-a", "gal-a")
@@ -54,7 +54,7 @@
         self.assertGreater(max(rates), 1.4 * min(rates))
 
     def test_constant_that_does_not_exist_is_an_error(self) -> None:
-        """The experiment with a mistyped constant would show that it changes nothing."""
+        """A mistyped constant would otherwise be ignored, and the run would show no effect."""
         result = CliRunner().invoke(main, ["--set", "cached_fraction.NOWHERE=1"])
         self.assertNotEqual(result.exit_code, 0)
         self.assertIn("cached_fraction.NOWHERE", result.output)
