--- a/bench/soak/__init__.py
+++ b/bench/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real instances, faults from outside, promises checked meanwhile."""
+"""A randomised soak test: checks guarantees of real instances while external faults occur."""
--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m bench.soak`: runs soaks by hand."""
+"""Runs soak tests from the command line: `python -m bench.soak`."""
 
 import signal
 import sys
@@ -18,12 +18,27 @@
 
 
 @click.command()
-@click.option("--seed", type=int, help="Of the first run; drawn if left out.")
-@click.option("--runs", type=click.IntRange(min=1), default=1, help="Runs, one seed each.")
-@click.option("--for", "seconds", type=click.FloatRange(min=1), default=60.0, help="Seconds a run.")
+@click.option("--seed", type=int, help="Seed of the first run; random if omitted.")
+@click.option(
+    "--runs", type=click.IntRange(min=1), default=1, help="Number of runs, with consecutive seeds."
+)
+@click.option(
+    "--for",
+    "seconds",
+    type=click.FloatRange(min=1),
+    default=60.0,
+    help="Seconds of faults per run.",
+)
 @click.option("--instances", type=click.IntRange(min=1, max=60), default=5)
-@click.option("--faults", type=click.Choice(FAULTS), multiple=True, help="Only these faults.")
-@click.option("--slack", type=click.FloatRange(min=1), default=1.0, help="Times the bounds.")
+@click.option(
+    "--faults",
+    type=click.Choice(FAULTS),
+    multiple=True,
+    help="Only inject these faults; may be repeated.",
+)
+@click.option(
+    "--slack", type=click.FloatRange(min=1), default=1.0, help="Factor on all time bounds."
+)
 @click.option("--show", is_flag=True, help="Print the schedule of each run.")
 def main(
     seed: int | None,
@@ -34,8 +49,8 @@
     slack: float,
     show: bool,
 ) -> None:
-    """Run real instances under faults drawn from a seed, and check what callers see."""
-    # The instances are ended on the way out, which a plain SIGTERM would not take.
+    """Run real instances under faults drawn from a seed, and check the answers of callers."""
+    # SIGTERM must raise an exception, as by default it would leave the instances running.
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     first = seed if seed is not None else time.time_ns() % 1_000_000
     failed = []
@@ -50,12 +65,12 @@
                 click.echo(f"  {step}")
         report = trio.run(_run, number, steps, seconds, instances, slack)
         click.echo(
-            f"seed {number}: {len(steps)} steps, {report.asked} requests, "
-            f"statuses {dict(sorted(report.statuses.items()))}, {len(report.found)} findings"
+            f"seed {number}: {len(steps)} steps, {report.sent} requests, "
+            f"statuses {dict(sorted(report.statuses.items()))}, {len(report.violations)} findings"
         )
-        for found in report.found[:20]:
-            click.echo(f"  {found}")
-        if report.found:
+        for violation in report.violations[:20]:
+            click.echo(f"  {violation}")
+        if report.violations:
             failed.append(number)
     click.echo(f"{runs} runs, seeds with findings: {failed or 'none'}")
     sys.exit(1 if failed else 0)
--- a/bench/soak/deployment.py
+++ b/bench/soak/deployment.py
@@ -28,19 +28,19 @@
 STORE_PORT: Final = 9100
 FIRST_VERSION: Final = 1
 BACKEND_SERVERS: Final = 6
-LONGEST_SERVICE_S: Final = 0.05
-DOWN_S: Final = 1.3
-"""A backend server is away for so long after a crash."""
+MAX_SERVICE_S: Final = 0.05
+CRASH_DOWNTIME_S: Final = 1.3
+"""The time after a crash until the backend server runs again."""
 
-RESET_PART: Final = 0.3
-"""The part of the requests whose connections are reset, while that goes on."""
+RESET_FRACTION: Final = 0.3
+"""The fraction of requests whose connections are reset during a backend reset fault."""
 
 CRASHING: Final = "/crashing-"
-"""Targets with this crash the backend server that runs them."""
+"""A request whose target contains this text crashes the backend server that runs it."""
 
 
 class Instance:
-    """One place with a process, which reaches the store by a proxy of its own."""
+    """An instance: an address with a process, which reaches the store through a separate proxy."""
 
     def __init__(self, *, number: int, address: str, file: Path, proxy: FaultProxy) -> None:
         self.number = number
@@ -54,22 +54,22 @@
         )
 
     @property
-    def has_begun(self) -> bool:
-        """Whether the last process has said that it runs."""
+    def has_started(self) -> bool:
+        """Whether the current process has logged that it started."""
         return "event=started " in self.process.log[self._logged_before :]
 
     def start(self) -> None:
-        """Start a process at this place."""
+        """Start a process at the address of the instance."""
         self.processes += 1
         self._logged_before = len(self.process.log)
         self.process.start()
 
 
 class Deployment:
-    """All that a soak runs, and the operator's and backend servers' writes to the store."""
+    """Runs the parts of a soak; writes to the store for the operator and backend servers."""
 
     def __init__(self, *, instances: int, findings: Findings, random: Random, folder: Path) -> None:
-        """Make it; ``serve`` starts it."""
+        """Initialise the deployment; ``serve`` starts it."""
         self.store = UsersStore()
         self.instances: list[Instance] = []
         self.version = FIRST_VERSION
@@ -79,7 +79,7 @@
         self._folder = folder
         self._server_numbers = count(1)
         self._addresses: dict[str, str] = {}
-        self._resetting = 0
+        self._active_resets = 0
 
     @asynccontextmanager
     async def serve(self) -> AsyncIterator[None]:
@@ -88,50 +88,50 @@
             self._write_config()
             for _ in range(BACKEND_SERVERS):
                 await nursery.start(self._serve_backend)
-            places = [loopback_address() for _ in range(self._count)]
-            for number, address in enumerate(places):
+            addresses = [loopback_address() for _ in range(self._count)]
+            for number, address in enumerate(addresses):
                 proxy = FaultProxy(
                     listen=Address(address, STORE_PORT), target=Address(store.address, store.port)
                 )
                 await nursery.start(proxy.serve)
-                file = self._write_settings(number, places)
+                file = self._write_settings(number, addresses)
                 self.instances.append(
                     Instance(number=number, address=address, file=file, proxy=proxy)
                 )
             try:
-                for each in self.instances:
-                    each.start()
+                for instance in self.instances:
+                    instance.start()
                 yield
             finally:
-                for each in self.instances:
-                    each.process.kill()
+                for instance in self.instances:
+                    instance.process.kill()
                 nursery.cancel_scope.cancel()
 
     def change_config(self) -> None:
-        """Write a version that adds a route."""
+        """Write a configuration version that adds a route."""
         self.version += 1
         self._write_config()
 
-    async def drain(self, for_s: float) -> None:
-        """Have a backend server drain, leave, and start again under another id."""
-        ready = [name for name in self._addresses if name not in self._findings.drained_s]
-        if not ready:
+    async def drain(self, duration_s: float) -> None:
+        """Make a backend server drain, leave, and register again under another id."""
+        active = [name for name in self._addresses if name not in self._findings.drained_s]
+        if not active:
             return
-        name = self._random.choice(ready)
+        name = self._random.choice(active)
         address = self._addresses[name]
         self.store.put("servers", name, server_document(address, State="draining"))
         self._findings.drained_s[name] = trio.current_time()
-        await trio.sleep(for_s)
-        # Unless a request has crashed it meanwhile.
+        await trio.sleep(duration_s)
+        # A request may have crashed the backend server meanwhile, which also removes its entry.
         if self._addresses.pop(name, None) is not None:
             self.store.delete("servers", name)
             self._register(address)
 
-    async def reset_connections(self, for_s: float) -> None:
-        """Have the backend servers reset some connections in place of an answer."""
-        self._resetting += 1
-        await trio.sleep(for_s)
-        self._resetting -= 1
+    async def reset_connections(self, duration_s: float) -> None:
+        """Make the backend servers reset some connections instead of answering."""
+        self._active_resets += 1
+        await trio.sleep(duration_s)
+        self._active_resets -= 1
 
     def _register(self, address: str) -> None:
         name = f"i-{next(self._server_numbers)}"
@@ -139,7 +139,7 @@
         self.store.put("servers", name, server_document(address))
 
     async def _serve_backend(self, *, task_status: Any = trio.TASK_STATUS_IGNORED) -> None:
-        """Serve at one place, again some time after each crash."""
+        """Serve a backend server, which restarts ``CRASH_DOWNTIME_S`` after each crash."""
         while True:
             crashed = trio.Event()
 
@@ -151,11 +151,11 @@
                 task_status.started()
                 task_status = trio.TASK_STATUS_IGNORED
                 await crashed.wait()
-            await trio.sleep(DOWN_S)
+            await trio.sleep(CRASH_DOWNTIME_S)
             self._unregister(str(address))
 
     def _unregister(self, address: str) -> None:
-        for name in [each for each, place in self._addresses.items() if place == address]:
+        for name in [name for name, used in self._addresses.items() if used == address]:
             del self._addresses[name]
             self.store.delete("servers", name)
 
@@ -174,12 +174,12 @@
         self.store.put("config", "main", document)
         self._findings.confirmed_s[self.version] = trio.current_time()
 
-    def _write_settings(self, number: int, places: list[str]) -> Path:
+    def _write_settings(self, number: int, addresses: list[str]) -> Path:
         document = node_settings_document(
-            address=places[number],
+            address=addresses[number],
             name=f"e-{number}",
-            store=Endpoint(places[number], STORE_PORT),
-            seeds=tuple(f"{each}:8146" for each in places[:3]),
+            store=Endpoint(addresses[number], STORE_PORT),
+            seeds=tuple(f"{seed}:8146" for seed in addresses[:3]),
         )
         file = self._folder / f"{number}.json"
         file.write_text(json.dumps(document))
@@ -189,25 +189,25 @@
         while request := await stream.request():
             head = request.partition(b"\r\n\r\n")[0].decode()
             line, *headers = head.split("\r\n")
-            fields = dict(each.lower().split(": ", 1) for each in headers)
+            fields = dict(header.lower().split(": ", 1) for header in headers)
             request_id, server_id = fields["x-attempt-id"], fields["x-expect-instance"]
             if server_id not in self._addresses:
                 await stream.send(response(b"", status="421 Misdirected Request"))
                 continue
             self._findings.runs.append(Run(request_id, server_id, trio.current_time()))
-            await trio.sleep(self._random.uniform(0.0, LONGEST_SERVICE_S))
+            await trio.sleep(self._random.uniform(0.0, MAX_SERVICE_S))
             target = line.split(" ")[1]
             if CRASHING in target:
                 crash = Crash(target, request_id, server_id, trio.current_time())
                 self._findings.crashes.append(crash)
                 crashed.set()
                 return
-            if self._resetting and self._random.random() < RESET_PART:
+            if self._active_resets and self._random.random() < RESET_FRACTION:
                 await reset_connection(stream.stream)
                 return
             body = f"{request_id} {target}".encode()
             await stream.send(response(body, f"X-Attempt-Id: {request_id}"))
 
 
-def _route(like: dict[str, Any], name: str, prefix: str) -> dict[str, Any]:
-    return {**like, "Name": name, "PathPrefix": prefix, "HomeRegions": []}
+def _route(template: dict[str, Any], name: str, prefix: str) -> dict[str, Any]:
+    return {**template, "Name": name, "PathPrefix": prefix, "HomeRegions": []}
--- a/bench/soak/findings.py
+++ b/bench/soak/findings.py
@@ -1,4 +1,4 @@
-"""What callers and backend servers saw, and what of it breaks a promise."""
+"""Records what callers and backend servers observe, and finds violated guarantees."""
 
 import math
 from collections import Counter
@@ -9,33 +9,33 @@
 import trio
 
 SETTLE_S: Final = 4.0
-"""An instance is in touch when nothing has disturbed it for so long."""
+"""The time after the last disturbance until an instance must meet its guarantees again."""
 
 CONFIG_APPLY_S: Final = 2.5
 DRAIN_S: Final = 2.5
 ROLLBACK_S: Final = 0.25
 
-CRASHES: Final = 3
-MOST_LATE_CRASHES: Final = 3
+QUARANTINE_CRASHES: Final = 3
+MAX_LATE_CRASHES: Final = 3
 
-ANSWER_LIMIT_S: Final = 3.0
-"""Callers wait so long for an answer."""
+ANSWER_TIMEOUT_S: Final = 3.0
+"""The time for which callers wait for an answer."""
 
 
-class Asked(NamedTuple):
+class SentRequest(NamedTuple):
     """A request that a caller sent.
 
     Attributes:
-        instance: The number of the instance that it was sent to.
-        process: The number of the process at that place.
-        sent_s: When.
-        repeatable: It may run more than once.
+        instance: The number of the instance to which it was sent.
+        process: The number of the process of that instance.
+        sent_s: The time at which it was sent, in seconds.
+        idempotent: Whether it may run more than once.
     """
 
     instance: int
     process: int
     sent_s: float
-    repeatable: bool
+    idempotent: bool
 
 
 class Run(NamedTuple):
@@ -56,29 +56,29 @@
 
 
 class Disturbance(NamedTuple):
-    """A time in which a fault, or a planned stop, met an instance."""
+    """A period in which a fault or a planned stop affects an instance."""
 
-    began_s: float
+    started_s: float
     ended_s: float
     planned: bool = False
 
 
 class Findings:
-    """Collects what was seen; each broken promise is one finding."""
+    """Collects observations, and one message for each violated guarantee."""
 
     def __init__(self, *, instances: int, slack: float) -> None:
-        """Make it.
+        """Initialise the findings.
 
         Args:
-            instances: How many there are.
-            slack: The bounds are so many times the promised ones, for a busy machine.
+            instances: The number of instances.
+            slack: The factor on all time bounds, for a busy machine.
         """
-        self.found: list[str] = []
-        self.asked: dict[str, Asked] = {}
+        self.violations: list[str] = []
+        self.sent: dict[str, SentRequest] = {}
         self.runs: list[Run] = []
         self.crashes: list[Crash] = []
         self.refused: set[str] = set()
-        self.cut: set[str] = set()
+        self.cut_requests: set[str] = set()
         self.statuses: Counter[int] = Counter()
         self.drained_s: dict[str, float] = {}
         self.confirmed_s: dict[int, float] = {}
@@ -86,109 +86,113 @@
         self._disturbed: list[list[Disturbance]] = [[] for _ in range(instances)]
         self._newest: dict[tuple[int, int], tuple[int, float]] = {}
 
-    def note_disturbed(self, instance: int, began_s: float, ended_s: float) -> None:
-        """A fault met an instance from one time to another."""
-        self._disturbed[instance].append(Disturbance(began_s, ended_s))
+    def record_disturbance(self, instance: int, started_s: float, ended_s: float) -> None:
+        """Record that a fault affected an instance during a period."""
+        self._disturbed[instance].append(Disturbance(started_s, ended_s))
 
     @contextmanager
-    def disturbed(self, *instances: int, planned: bool = False) -> Iterator[None]:
-        """A fault or a planned stop meets instances for as long as the context lasts."""
-        lasting = Disturbance(trio.current_time(), math.inf, planned)
+    def disturbance(self, *instances: int, planned: bool = False) -> Iterator[None]:
+        """Record that a fault or planned stop affects instances while the context is active."""
+        ongoing = Disturbance(trio.current_time(), math.inf, planned)
         for number in instances:
-            self._disturbed[number].append(lasting)
+            self._disturbed[number].append(ongoing)
         yield
         for number in instances:
-            self._disturbed[number].remove(lasting)
-            self._disturbed[number].append(lasting._replace(ended_s=trio.current_time()))
+            self._disturbed[number].remove(ongoing)
+            self._disturbed[number].append(ongoing._replace(ended_s=trio.current_time()))
 
-    def in_touch(self, instance: int, from_s: float, to_s: float) -> bool:
-        """Whether nothing disturbed an instance in that time, or just before it."""
+    def is_undisturbed(self, instance: int, from_s: float, to_s: float) -> bool:
+        """Return whether nothing disturbed an instance in a period or ``SETTLE_S`` before it."""
         return not any(
-            each.began_s <= to_s and each.ended_s + SETTLE_S * self._slack >= from_s
-            for each in self._disturbed[instance]
+            disturbance.started_s <= to_s and disturbance.ended_s + SETTLE_S * self._slack >= from_s
+            for disturbance in self._disturbed[instance]
         )
 
-    def note_version(self, asked: Asked, version: int, *, served: bool, answered_s: float) -> None:
-        """An instance answered a request on a route that exists since a version."""
-        place = (asked.instance, asked.process)
-        newest, seen_s = self._newest.get(place, (0, 0.0))
+    def record_version(
+        self, sent: SentRequest, version: int, *, served: bool, answered_s: float
+    ) -> None:
+        """Record an instance's answer to a request on a route that a version added."""
+        process_key = (sent.instance, sent.process)
+        newest, seen_s = self._newest.get(process_key, (0, 0.0))
         if served:
             if version > newest:
-                self._newest[place] = (version, answered_s)
+                self._newest[process_key] = (version, answered_s)
             return
-        if version <= newest and asked.sent_s > seen_s + ROLLBACK_S * self._slack:
-            self.found.append(f"{asked}: 404 for version {version} after {newest} was in force")
+        if version <= newest and sent.sent_s > seen_s + ROLLBACK_S * self._slack:
+            self.violations.append(f"{sent}: 404 for version {version} after {newest} was in force")
         due_s = self.confirmed_s[version] + CONFIG_APPLY_S * self._slack
-        if asked.sent_s > due_s and self.in_touch(asked.instance, due_s, answered_s):
-            late_s = asked.sent_s - self.confirmed_s[version]
-            self.found.append(f"{asked}: version {version} not in force after {late_s:.2f} s")
+        if sent.sent_s > due_s and self.is_undisturbed(sent.instance, due_s, answered_s):
+            late_s = sent.sent_s - self.confirmed_s[version]
+            self.violations.append(f"{sent}: version {version} not in force after {late_s:.2f} s")
 
-    def note_unserved(self, instance: int, began_s: float, error: str) -> None:
-        """A connection was refused or cut, or a request got no answer within its limit."""
+    def record_unanswered(self, instance: int, started_s: float, error: str) -> None:
+        """Record that a connection was refused or cut, or that an answer did not come in time."""
         self.statuses[0] += 1
-        if self.in_touch(instance, began_s, trio.current_time()):
-            self.found.append(f"instance {instance} at {began_s:.2f} s: {error}")
+        if self.is_undisturbed(instance, started_s, trio.current_time()):
+            self.violations.append(f"instance {instance} at {started_s:.2f} s: {error}")
 
-    def check_whole(self, version: int) -> None:
-        """Check at the end that the newest process at each place serves the newest version."""
+    def check_final_versions(self, version: int) -> None:
+        """Check that the newest process of each instance serves the newest version at the end."""
         newest = dict.fromkeys(range(len(self._disturbed)), 0)
         for (instance, _), (served, _) in sorted(self._newest.items()):
             newest[instance] = served
-        self.found += [
+        self.violations += [
             f"instance {instance} serves version {served} at the end, not {version}"
             for instance, served in newest.items()
             if served != version
         ]
 
-    def conclude(self) -> None:
-        """Check what can only be told when all is over."""
-        counts = Counter(each.request_id for each in self.runs)
+    def finish_checks(self) -> None:
+        """Check the guarantees that can only be judged at the end of the soak."""
+        counts = Counter(run.request_id for run in self.runs)
         for request_id, count in counts.items():
-            asked = self.asked.get(request_id)
-            if asked is None:
-                self.found.append(f"{request_id} ran and was not asked")
-            elif not asked.repeatable and count > 1:
-                self.found.append(f"{request_id} {asked} ran {count} times")
-            elif not asked.repeatable and request_id in self.refused:
-                self.found.append(f"{request_id} {asked} was refused and ran")
+            sent = self.sent.get(request_id)
+            if sent is None:
+                self.violations.append(f"{request_id} ran although no caller sent it")
+            elif not sent.idempotent and count > 1:
+                self.violations.append(f"{request_id} {sent} ran {count} times")
+            elif not sent.idempotent and request_id in self.refused:
+                self.violations.append(f"{request_id} {sent} ran although it was refused")
         for run in self.runs:
             self._check_drained(run)
-        for target in {each.target for each in self.crashes}:
-            self._check_crashes([each for each in self.crashes if each.target == target])
-        for request_id in self.cut & counts.keys():
-            self._check_cut(request_id, self.asked[request_id])
-
-    def _check_cut(self, request_id: str, asked: Asked) -> None:
-        """A request that a backend server worked on may not be cut by a planned stop alone."""
-        met = [
-            each
-            for each in self._disturbed[asked.instance]
-            if each.began_s <= asked.sent_s + ANSWER_LIMIT_S
-            and each.ended_s + SETTLE_S * self._slack >= asked.sent_s
+        for target in {crash.target for crash in self.crashes}:
+            self._check_crashes([crash for crash in self.crashes if crash.target == target])
+        for request_id in self.cut_requests & counts.keys():
+            self._check_cut_request(request_id, self.sent[request_id])
+
+    def _check_cut_request(self, request_id: str, sent: SentRequest) -> None:
+        """Check that no request that ran was cut by nothing but a planned stop."""
+        disturbances = [
+            disturbance
+            for disturbance in self._disturbed[sent.instance]
+            if disturbance.started_s <= sent.sent_s + ANSWER_TIMEOUT_S
+            and disturbance.ended_s + SETTLE_S * self._slack >= sent.sent_s
         ]
-        if met and all(each.planned for each in met):
-            self.found.append(f"{request_id} {asked} was cut by a planned stop")
+        if disturbances and all(disturbance.planned for disturbance in disturbances):
+            self.violations.append(f"{request_id} {sent} was cut by a planned stop")
 
     def _check_crashes(self, crashes: list[Crash]) -> None:
-        """A request that has crashed three backend servers may reach few more."""
-        if len(crashes) < CRASHES:
+        """Check that a request that crashed three backend servers reaches few more."""
+        if len(crashes) < QUARANTINE_CRASHES:
             return
-        third_s = crashes[CRASHES - 1].at_s
-        late = [
-            each
-            for each in crashes
-            if each.at_s > third_s + SETTLE_S * self._slack
-            and self.in_touch(self.asked[each.request_id].instance, each.at_s, each.at_s)
+        third_s = crashes[QUARANTINE_CRASHES - 1].at_s
+        late_crashes = [
+            crash
+            for crash in crashes
+            if crash.at_s > third_s + SETTLE_S * self._slack
+            and self.is_undisturbed(self.sent[crash.request_id].instance, crash.at_s, crash.at_s)
         ]
-        if len(late) > MOST_LATE_CRASHES:
-            self.found.append(f"{late[0].target} crashed {len(crashes)}, {len(late)} of them late")
+        if len(late_crashes) > MAX_LATE_CRASHES:
+            self.violations.append(
+                f"{late_crashes[0].target} crashed {len(crashes)}, {len(late_crashes)} of them late"
+            )
 
     def _check_drained(self, run: Run) -> None:
         drained_s = self.drained_s.get(run.server_id)
-        asked = self.asked.get(run.request_id)
-        if drained_s is None or asked is None:
+        sent = self.sent.get(run.request_id)
+        if drained_s is None or sent is None:
             return
         due_s = drained_s + DRAIN_S * self._slack
-        if run.at_s > due_s and self.in_touch(asked.instance, due_s, run.at_s):
+        if run.at_s > due_s and self.is_undisturbed(sent.instance, due_s, run.at_s):
             late_s = run.at_s - drained_s
-            self.found.append(f"{run} {asked}: {late_s:.2f} s after the backend server drained")
+            self.violations.append(f"{run} {sent}: {late_s:.2f} s after the backend server drained")
--- a/bench/soak/soak.py
+++ b/bench/soak/soak.py
@@ -1,4 +1,4 @@
-"""Plays a schedule on a deployment while callers use it, and checks what was seen."""
+"""Runs a schedule of faults on a deployment while callers use it, and checks guarantees."""
 
 import signal
 from pathlib import Path
@@ -10,98 +10,98 @@
 from tests.common.fault_proxy import Fault
 
 from bench.soak.caller import Caller
-from bench.soak.crashing import REQUESTS, CrashingCaller
+from bench.soak.crashing import CRASHING_REQUESTS, CrashingCaller
 from bench.soak.deployment import Deployment, Instance
 from bench.soak.findings import CONFIG_APPLY_S, SETTLE_S, Findings
 from bench.soak.schedule import BACKEND_FAULT, Step
 
-CALLERS_EACH: Final = 2
+CALLERS_PER_INSTANCE: Final = 2
 WARM_UP_S: Final = 6.0
 STORE_DELAY_S: Final = 0.3
-RESTART_S: Final = 0.5
-STOP_LIMIT_S: Final = 8.0
-LOOK_INTERVAL_S: Final = 0.1
-STALL_S: Final = 0.5
-"""When this process itself got no processor time for so long, neither did the others."""
+RESTART_DELAY_S: Final = 0.5
+STOP_TIMEOUT_S: Final = 8.0
+POLL_INTERVAL_S: Final = 0.1
+STALL_THRESHOLD_S: Final = 0.5
+"""A longer pause of this process means that the other processes got no processor time either."""
 
 
 class Report(NamedTuple):
-    """The outcome of a soak.
+    """The result of a soak.
 
     Attributes:
-        found: The broken promises; empty if all were kept.
-        asked: How many requests were sent.
-        statuses: How many got which status; 0 for none.
+        violations: The violated guarantees; empty if all were met.
+        sent: The number of requests sent.
+        statuses: The number of answers by status; 0 stands for no answer.
     """
 
-    found: list[str]
-    asked: int
+    violations: list[str]
+    sent: int
     statuses: dict[int, int]
 
 
 async def run_soak(
     *, seed: int, steps: list[Step], seconds: float, instances: int, slack: float
 ) -> Report:
-    """Run a deployment for so many seconds, and until it is whole again.
+    """Run a deployment under faults, until it has recovered from all of them.
 
     Args:
-        seed: Of what callers and backend servers draw.
-        steps: What happens when.
-        seconds: The time in which it happens.
-        instances: How many instances run.
-        slack: The bounds are so many times the promised ones.
+        seed: The seed of the random choices of callers and backend servers.
+        steps: The schedule.
+        seconds: The duration of the schedule in seconds.
+        instances: The number of instances.
+        slack: The factor on all time bounds.
     """
     random = Random(seed)
     findings = Findings(instances=instances, slack=slack)
     with TemporaryDirectory() as folder:
-        world = Deployment(
+        deployment = Deployment(
             instances=instances, findings=findings, random=random, folder=Path(folder)
         )
-        soak = _Soak(world=world, findings=findings, random=random, slack=slack)
-        async with world.serve():
+        soak = _Soak(deployment=deployment, findings=findings, random=random, slack=slack)
+        async with deployment.serve():
             await soak.run(steps, seconds)
-    findings.conclude()
-    return Report(findings.found, len(findings.asked), dict(findings.statuses))
+    findings.finish_checks()
+    return Report(findings.violations, len(findings.sent), dict(findings.statuses))
 
 
 class _Soak:
     def __init__(
-        self, *, world: Deployment, findings: Findings, random: Random, slack: float
+        self, *, deployment: Deployment, findings: Findings, random: Random, slack: float
     ) -> None:
-        self._world = world
+        self._deployment = deployment
         self._findings = findings
         self._random = random
         self._slack = slack
 
     async def run(self, steps: list[Step], seconds: float) -> None:
         settled_s = trio.current_time() + WARM_UP_S * self._slack
-        for each in self._world.instances:
-            self._findings.note_disturbed(each.number, 0.0, settled_s)
+        for instance in self._deployment.instances:
+            self._findings.record_disturbance(instance.number, 0.0, settled_s)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch_for_stalls)
-            for each in self._world.instances:
-                for number in range(CALLERS_EACH):
-                    nursery.start_soon(self._make_caller(each, number).run)
+            for instance in self._deployment.instances:
+                for number in range(CALLERS_PER_INSTANCE):
+                    nursery.start_soon(self._make_caller(instance, number).run)
             await trio.sleep_until(settled_s)
-            began_s = trio.current_time()
-            for number in range(REQUESTS):
+            started_s = trio.current_time()
+            for number in range(CRASHING_REQUESTS):
                 nursery.start_soon(self._make_crashing_caller(number).run)
-            async with trio.open_nursery() as playing:
+            async with trio.open_nursery() as steps_nursery:
                 for step in steps:
-                    await trio.sleep_until(began_s + step.at_s)
-                    playing.start_soon(self._play, step)
-                await trio.sleep_until(began_s + seconds)
+                    await trio.sleep_until(started_s + step.at_s)
+                    steps_nursery.start_soon(self._run_step, step)
+                await trio.sleep_until(started_s + seconds)
             await trio.sleep((SETTLE_S + CONFIG_APPLY_S) * self._slack)
-            self._world.change_config()
+            self._deployment.change_config()
             await trio.sleep(2 * CONFIG_APPLY_S * self._slack)
-            self._findings.check_whole(self._world.version)
+            self._findings.check_final_versions(self._deployment.version)
             nursery.cancel_scope.cancel()
 
     def _make_caller(self, instance: Instance, number: int) -> Caller:
         return Caller(
             name=f"c{instance.number}-{number}",
             instance=instance,
-            world=self._world,
+            deployment=self._deployment,
             findings=self._findings,
             random=Random(self._random.random()),
         )
@@ -109,43 +109,45 @@
     def _make_crashing_caller(self, number: int) -> CrashingCaller:
         return CrashingCaller(
             number=number,
-            world=self._world,
+            deployment=self._deployment,
             findings=self._findings,
             random=Random(self._random.random()),
         )
 
     async def _watch_for_stalls(self) -> None:
         while True:
-            began_s = trio.current_time()
-            await trio.sleep(LOOK_INTERVAL_S)
+            started_s = trio.current_time()
+            await trio.sleep(POLL_INTERVAL_S)
             ended_s = trio.current_time()
-            if ended_s - began_s > STALL_S:
-                for each in self._world.instances:
-                    self._findings.note_disturbed(each.number, began_s, ended_s)
+            if ended_s - started_s > STALL_THRESHOLD_S:
+                for instance in self._deployment.instances:
+                    self._findings.record_disturbance(instance.number, started_s, ended_s)
 
-    async def _play(self, step: Step) -> None:
-        instance = self._world.instances[step.instance]
+    async def _run_step(self, step: Step) -> None:
+        instance = self._deployment.instances[step.instance]
         if step.kind == "config":
-            self._world.change_config()
+            self._deployment.change_config()
         elif step.kind == "drain":
-            await self._world.drain(step.for_s)
+            await self._deployment.drain(step.duration_s)
         elif step.kind == BACKEND_FAULT:
-            await self._world.reset_connections(step.for_s)
+            await self._deployment.reset_connections(step.duration_s)
         elif step.kind == "store-refuses":
-            await self._refuse(step.for_s)
+            await self._refuse_store_calls(step.duration_s)
         elif step.kind in ("pause", "kill", "stop"):
             async with instance.lock:
-                with self._findings.disturbed(instance.number, planned=step.kind == "stop"):
+                with self._findings.disturbance(instance.number, planned=step.kind == "stop"):
                     await self._disturb_process(instance, step)
         else:
             await self._disturb_store(instance, step)
 
-    async def _refuse(self, for_s: float) -> None:
-        with self._findings.disturbed(*(each.number for each in self._world.instances)):
-            self._world.store.refuse = 503
-            self._world.store.end_watches()
-            await trio.sleep(for_s)
-            self._world.store.refuse = None
+    async def _refuse_store_calls(self, duration_s: float) -> None:
+        with self._findings.disturbance(
+            *(instance.number for instance in self._deployment.instances)
+        ):
+            self._deployment.store.refuse = 503
+            self._deployment.store.end_watches()
+            await trio.sleep(duration_s)
+            self._deployment.store.refuse = None
 
     async def _disturb_store(self, instance: Instance, step: Step) -> None:
         faults = {
@@ -153,32 +155,34 @@
             "store-freeze": Fault("freeze"),
             "store-delay": Fault("delay", delay_s=STORE_DELAY_S),
         }
-        with self._findings.disturbed(instance.number):
+        with self._findings.disturbance(instance.number):
             await instance.proxy.set_fault(faults[step.kind])
-            await trio.sleep(step.for_s)
+            await trio.sleep(step.duration_s)
             await instance.proxy.pass_through()
 
     async def _disturb_process(self, instance: Instance, step: Step) -> None:
         if step.kind == "pause":
             instance.process.freeze()
-            await trio.sleep(step.for_s)
+            await trio.sleep(step.duration_s)
             instance.process.thaw()
         elif step.kind == "kill":
             await trio.to_thread.run_sync(instance.process.kill)
-            await trio.sleep(RESTART_S)
+            await trio.sleep(RESTART_DELAY_S)
             instance.start()
         else:
             await self._stop(instance)
             instance.start()
 
     async def _stop(self, instance: Instance) -> None:
-        began = instance.has_begun
+        had_started = instance.has_started
         instance.process.terminate()
         code: int | None = None
-        with trio.move_on_after(STOP_LIMIT_S * self._slack):
+        with trio.move_on_after(STOP_TIMEOUT_S * self._slack):
             while (code := instance.process.exit_code) is None:  # noqa: ASYNC110 - a process's end
-                await trio.sleep(LOOK_INTERVAL_S)
-        # Before it has begun a process has taken no request, and the signal ends it.
-        if code != 0 and (began or code != -signal.SIGTERM):
-            self._findings.found.append(f"instance {instance.number}: stopped with {code}")
+                await trio.sleep(POLL_INTERVAL_S)
+        # A process that has not started yet has taken no request, and the signal kills it.
+        if code != 0 and (had_started or code != -signal.SIGTERM):
+            self._findings.violations.append(
+                f"instance {instance.number}: exit code {code} after SIGTERM, expected 0"
+            )
             await trio.to_thread.run_sync(instance.process.kill)
--- a/tests/integration/test_soak.py
+++ b/tests/integration/test_soak.py
@@ -1,4 +1,4 @@
-"""A short run of the soak with a fixed seed."""
+"""A short soak with a fixed seed: guarantees must hold while faults overlap."""
 
 import unittest
 
@@ -9,11 +9,11 @@
 SECONDS = 20.0
 INSTANCES = 3
 BUSY_MACHINE = 2.0
-"""Times the promised bounds, since the machine of a test may be busy."""
+"""The factor on the time bounds, as the machine of a test may be busy."""
 
 
 class SoakTest(unittest.TestCase):
-    def test_promises_are_kept_under_faults(self) -> None:
+    def test_guarantees_hold_under_faults(self) -> None:
         steps = draw_schedule(seed=1, seconds=SECONDS, instances=INSTANCES)
         steps = sorted([*steps, *draw_backend_faults(seed=1, seconds=SECONDS)])
 
@@ -22,6 +22,6 @@
                 seed=1, steps=steps, seconds=SECONDS, instances=INSTANCES, slack=BUSY_MACHINE
             )
             self.assertGreater(report.statuses.get(200, 0), 100)
-            return report.found
+            return report.violations
 
         self.assertEqual(trio.run(run), [])
