--- a/src/wagtailpoint/daemon/steering.py
+++ b/src/wagtailpoint/daemon/steering.py
@@ -301,7 +301,7 @@
             )
 
         settings = self._settings
-        most = int(CALLERS_PART * (settings.max_descriptors - RESERVED_DESCRIPTORS))
+        most = int(CALLERS_PART * (settings.most_descriptors - RESERVED_DESCRIPTORS))
         return [
             server(settings.callers, self._dispatcher.handle, most),
             server(settings.lookups, self._pages.handle, PAGE_CONNECTIONS),
--- a/src/wagtailpoint/node_settings.py
+++ b/src/wagtailpoint/node_settings.py
@@ -74,7 +74,7 @@
         metrics: The endpoint for metrics and status.
         seeds: Peers known at the start; the list may be outdated.
         store: The endpoint of the platform's object store.
-        max_descriptors: Maximum number of open file descriptors.
+        most_descriptors: Maximum number of open file descriptors.
         capacity: Its capacity relative to other instances, in processor cores.
         bounds: Bounds that all instances have to meet.
     """
@@ -90,6 +90,6 @@
     metrics: Endpoint
     seeds: tuple[Endpoint, ...]
     store: Endpoint
-    max_descriptors: int
+    most_descriptors: int
     capacity: float
     bounds: ServiceBounds
--- a/src/wagtailpoint/platform/settings.py
+++ b/src/wagtailpoint/platform/settings.py
@@ -140,7 +140,7 @@
         metrics=Endpoint(wire.Self.Ip, METRICS_PORT),
         seeds=tuple(Endpoint.parse(each) for each in wire.Network.SeedAddrs),
         store=Endpoint.parse(wire.Platform.Platform.Address),
-        max_descriptors=wire.Self.Limits.MaxFds,
+        most_descriptors=wire.Self.Limits.MaxFds,
         capacity=_capacity(wire.Self.Limits),
         bounds=ServiceBounds(
             grace_s=bounds.GraceS,
