--- a/src/wagtailpoint/cli/changing.py
+++ b/src/wagtailpoint/cli/changing.py
@@ -63,10 +63,10 @@
     snapshot = await store.read()
     if isinstance(snapshot, Err):
         return snapshot
-    return Ok(current_of(snapshot.ok_value))
+    return Ok(current_from_snapshot(snapshot.ok_value))
 
 
-def current_of(snapshot: Snapshot | None) -> Current:
+def current_from_snapshot(snapshot: Snapshot | None) -> Current:
     """A snapshot, or the empty configuration."""
     return Current(snapshot.change.version, snapshot.objects) if snapshot else Current(0, {})
 
@@ -104,29 +104,29 @@
     if not puts and not edit.deletes:
         text = f"nothing to change: version {current.version} has it already"
         report = Report(text, {"changed": False, "version": current.version})
-        return Ok(await follow(session, report, current.version, options))
+        return Ok(await wait_if_requested(session, report, current.version, options))
     # An instance keeps its last good configuration when it meets one that it can't compile, so a
     # wrong change would be accepted and never come into force. It must not reach the platform.
     merged = {key: value for key, value in current.objects.items() if key not in edit.deletes}
     checked = compile_config(version=current.version + 1, objects=merged | puts)
     if isinstance(checked, Err):
         return checked
-    base = base_version_of(options, current)
+    base = resolve_base_version(options, current)
     if isinstance(base, Err):
         return base
-    landed = await store.apply(
+    written = await store.apply(
         puts=puts,
         deletes=edit.deletes,
         base_version=base.ok_value,
-        author=author_of(session, options),
+        author=resolve_author(session, options),
         message=options.message or edit.message,
     )
-    if isinstance(landed, Err):
-        return landed
-    return Ok(await report_landed(session, landed.ok_value, sorted(puts), edit.deletes, options))
+    if isinstance(written, Err):
+        return written
+    return Ok(await report_change(session, written.ok_value, sorted(puts), edit.deletes, options))
 
 
-async def report_landed(
+async def report_change(
     session: Session,
     snapshot: Snapshot,
     put: Sequence[str],
@@ -145,10 +145,12 @@
         "put": list(put),
         "deleted": list(deleted),
     }
-    return await follow(session, Report("\n".join(lines), data), info.version, options)
+    return await wait_if_requested(session, Report("\n".join(lines), data), info.version, options)
 
 
-async def follow(session: Session, report: Report, version: int, options: ChangeOptions) -> Report:
+async def wait_if_requested(
+    session: Session, report: Report, version: int, options: ChangeOptions
+) -> Report:
     """Wait until a version is in force, if the operator asked for it."""
     if not options.wait:
         return report
@@ -165,7 +167,7 @@
     )
 
 
-def base_version_of(options: ChangeOptions, current: Current) -> Result[int, InvalidInput]:
+def resolve_base_version(options: ChangeOptions, current: Current) -> Result[int, InvalidInput]:
     """The version against which a change is made."""
     if options.base_version is None:
         return Ok(current.version)
@@ -175,6 +177,6 @@
     return Ok(options.base_version)
 
 
-def author_of(session: Session, options: ChangeOptions) -> str:
+def resolve_author(session: Session, options: ChangeOptions) -> str:
     """Who makes the change."""
     return options.author or session.profile.author or default_author()
--- a/src/wagtailpoint/cli/config_commands.py
+++ b/src/wagtailpoint/cli/config_commands.py
@@ -11,11 +11,11 @@
 from wagtailpoint.cli.changing import (
     ChangeOptions,
     Edit,
-    author_of,
-    base_version_of,
     change,
     read_current,
-    report_landed,
+    report_change,
+    resolve_author,
+    resolve_base_version,
 )
 from wagtailpoint.cli.differences import compare, format_differences
 from wagtailpoint.cli.exit_codes import ExitCode
@@ -95,15 +95,15 @@
         return current
     version, objects = current.ok_value
     if name:
-        return _get_one(version, objects, what)
+        return _get_object(version, objects, what)
     prefix = f"{kind}/" if kind else ""
     found = {key: objects[key] for key in sorted(objects) if key.startswith(prefix)}
-    rows = [[*key.split("/", 1), _summary(value)] for key, value in found.items()]
+    rows = [[*key.split("/", 1), _format_field_names(value)] for key, value in found.items()]
     text = f"version {version}\n{format_table(['kind', 'name', 'fields'], rows)}"
     return Ok(Report(text, {"version": version, "objects": found}))
 
 
-def _get_one(version: int, objects: Mapping[str, Any], key: str) -> Result[Report, CommandError]:
+def _get_object(version: int, objects: Mapping[str, Any], key: str) -> Result[Report, CommandError]:
     mistakes: list[Mistake] = []
     if not check_reference(path=key, given=key, known=objects, what="an object", mistakes=mistakes):
         return Err(InvalidInput(mistakes))
@@ -111,7 +111,7 @@
     return Ok(Report(format_json({key: objects[key]}), data))
 
 
-def _summary(value: Any) -> str:
+def _format_field_names(value: Any) -> str:
     return ", ".join(value) if isinstance(value, dict) else "-"
 
 
@@ -202,20 +202,20 @@
     checked = compile_config(version=current.version + 1, objects=target)
     if isinstance(checked, Err):
         return checked
-    base = base_version_of(options, current)
+    base = resolve_base_version(options, current)
     if isinstance(base, Err):
         return base
-    landed = await store.revert(
+    written = await store.revert(
         to_version=to_version,
-        author=author_of(session, options),
+        author=resolve_author(session, options),
         message=options.message or f"revert to version {to_version}",
         base_version=base.ok_value,
     )
-    if isinstance(landed, Err):
-        return landed
+    if isinstance(written, Err):
+        return written
     put = [key for key in sorted(target) if current.objects.get(key) != target[key]]
     deleted = sorted(current.objects.keys() - target.keys())
-    return Ok(await report_landed(session, landed.ok_value, put, deleted, options))
+    return Ok(await report_change(session, written.ok_value, put, deleted, options))
 
 
 @click.command()
@@ -223,7 +223,7 @@
 @run_command
 async def check(session: Session, *, files: tuple[Path, ...]) -> Result[Report, CommandError]:
     """Check settings files, or object files as one configuration, without the platform."""
-    settings_files, object_files = _sort_files(files)
+    settings_files, object_files = _classify_files(files)
     mistakes: list[Mistake] = []
     for path, value in settings_files.items():
         checked = check_settings(value)
@@ -243,16 +243,16 @@
     return Ok(Report(text, {"settings_files": len(settings_files), "objects": len(objects)}))
 
 
-def _sort_files(files: tuple[Path, ...]) -> tuple[dict[Path, Any], list[Path]]:
+def _classify_files(files: tuple[Path, ...]) -> tuple[dict[Path, Any], list[Path]]:
     """Tell settings files, which have an address, from object files; mistakes come later."""
     settings_files: dict[Path, Any] = {}
     object_files: list[Path] = []
     for path in files:
-        for inside in sorted(path.glob("*.json")) or [path]:
-            parsed = parse_json(inside.read_bytes(), path=str(inside)) if inside.is_file() else None
+        for file in sorted(path.glob("*.json")) or [path]:
+            parsed = parse_json(file.read_bytes(), path=str(file)) if file.is_file() else None
             value = parsed.ok() if parsed is not None else None
             if isinstance(value, dict) and "address" in value:
-                settings_files[inside] = value
+                settings_files[file] = value
             else:
-                object_files.append(inside)
+                object_files.append(file)
     return settings_files, object_files
--- a/src/wagtailpoint/cli/entry_commands.py
+++ b/src/wagtailpoint/cli/entry_commands.py
@@ -76,7 +76,7 @@
     missing = []
     for answer in answers.values():
         if isinstance(answer, Ok):
-            events += _events_of(answer.ok_value)
+            events += _read_events(answer.ok_value)
         else:
             missing.append(answer.err_value.reason)
     wanted = dict(where.split("=", 1) for where in wheres)
@@ -101,7 +101,7 @@
     return answer.map(lambda document: Report(_format_lookup(document), document))
 
 
-def _events_of(document: Any) -> Sequence[Mapping[str, Any]]:
+def _read_events(document: Any) -> Sequence[Mapping[str, Any]]:
     events = document.get("events", []) if isinstance(document, dict) else []
     return [event for event in events if isinstance(event, dict)]
 
--- a/src/wagtailpoint/cli/failures.py
+++ b/src/wagtailpoint/cli/failures.py
@@ -19,7 +19,7 @@
     reason: str
 
 
-class InvalidTogether(InvalidInput):
+class InvalidMergedConfig(InvalidInput):
     """The change was valid, but not together with another one that landed meanwhile."""
 
 
@@ -100,7 +100,7 @@
 
 
 @describe.register
-def _(error: InvalidTogether) -> Failure:
+def _(error: InvalidMergedConfig) -> Failure:
     lines = "\n".join(f"  {mistake}" for mistake in error.mistakes)
     message = (
         "conflict, nothing was changed: another change landed meanwhile (wagtailpoint history) "
--- a/src/wagtailpoint/cli/log_commands.py
+++ b/src/wagtailpoint/cli/log_commands.py
@@ -28,8 +28,8 @@
     newest = spreads[-1].version if spreads else None
     text = f"{_format_spreads(spreads)}\n\n{_format_instances(instances, newest)}"
     data = {
-        "versions": [_spread_data(each) for each in spreads],
-        "instances": [_instance_data(each, newest) for each in instances],
+        "versions": [_spread_data(spread) for spread in spreads],
+        "instances": [_instance_data(instance, newest) for instance in instances],
     }
     return Ok(Report(text, data))
 
@@ -37,13 +37,13 @@
 def _format_spreads(spreads: Sequence[VersionSpread]) -> str:
     rows = [
         [
-            str(each.version),
-            each.instances,
-            each.first.isoformat(timespec="milliseconds"),
-            f"{each.delay_s:.3f}",
-            each.last_instance,
+            str(spread.version),
+            spread.instances,
+            spread.first.isoformat(timespec="milliseconds"),
+            f"{spread.delay_s:.3f}",
+            spread.last_instance,
         ]
-        for each in spreads
+        for spread in spreads
     ]
     return format_table(["version", "instances", "first in force", "last after s", "last"], rows)
 
@@ -51,12 +51,12 @@
 def _format_instances(instances: Sequence[InstanceVersion], newest: int | None) -> str:
     rows = [
         [
-            each.instance,
-            each.version,
-            each.since.isoformat(timespec="milliseconds"),
-            "behind" if each.version != newest else "",
+            instance.instance,
+            instance.version,
+            instance.since.isoformat(timespec="milliseconds"),
+            "behind" if instance.version != newest else "",
         ]
-        for each in instances
+        for instance in instances
     ]
     return format_table(["instance", "version", "since", ""], rows)
 
--- a/src/wagtailpoint/cli/move_commands.py
+++ b/src/wagtailpoint/cli/move_commands.py
@@ -131,7 +131,7 @@
     """
 
     def edit(objects: Mapping[str, Any]) -> Result[Edit, InvalidInput]:
-        found = _find(objects, "move", name)
+        found = _find_object(objects, "move", name)
         if isinstance(found, Err):
             return found
         plan = found.ok_value
@@ -188,7 +188,7 @@
     """End the drain NAME: what was drained gets new work again."""
 
     def edit(objects: Mapping[str, Any]) -> Result[Edit, InvalidInput]:
-        found = _find(objects, "drain", name)
+        found = _find_object(objects, "drain", name)
         return found.map(lambda _: Edit({}, [f"drain/{name}"], f"stop drain/{name}"))
 
     return await change(session, edit, options)
@@ -198,31 +198,31 @@
 @run_command
 async def show_moves(session: Session) -> Result[Report, CommandError]:
     """Show the step of each move, as each instance knows it."""
-    return await _show(session, "moves", _MOVE_FIELDS)
+    return await _show_section(session, "moves", _MOVE_FIELDS)
 
 
 @drain.command("show")
 @run_command
 async def show_drains(session: Session) -> Result[Report, CommandError]:
     """Show what is still in flight at the backend servers of each drain."""
-    return await _show(session, "drains", _DRAIN_FIELDS)
+    return await _show_section(session, "drains", _DRAIN_FIELDS)
 
 
 async def _set_state(
     session: Session, name: str, state: str, options: ChangeOptions
 ) -> Result[Report, CommandError]:
     def edit(objects: Mapping[str, Any]) -> Result[Edit, InvalidInput]:
-        found = _find(objects, "move", name)
+        found = _find_object(objects, "move", name)
         puts = found.map(lambda plan: {f"move/{name}": plan | {"state": state}})
         return puts.map(lambda put: Edit(put, (), f"{state} move/{name}"))
 
     return await change(session, edit, options)
 
 
-def _find(objects: Mapping[str, Any], kind: str, name: str) -> Result[Any, InvalidInput]:
+def _find_object(objects: Mapping[str, Any], kind: str, name: str) -> Result[Any, InvalidInput]:
     mistakes: list[Mistake] = []
     key = f"{kind}/{name}"
-    known = [other for other in objects if other.startswith(f"{kind}/")]
+    known = [known_key for known_key in objects if known_key.startswith(f"{kind}/")]
     if check_reference(path="NAME", given=key, known=known, what=f"a {kind}", mistakes=mistakes):
         return Ok(objects[key])
     return Err(InvalidInput(mistakes))
@@ -236,7 +236,7 @@
     return compiled.ok_value.workspaces[workspace].groups.get(service, "")
 
 
-async def _show(
+async def _show_section(
     session: Session, section: str, fields: Sequence[str]
 ) -> Result[Report, CommandError]:
     first = await session.ask_any("/v1/status")
@@ -249,7 +249,7 @@
     missing = []
     for entry, answer in answers.items():
         if isinstance(answer, Ok):
-            found += _items(entry, answer.ok_value, section)
+            found += _read_section(entry, answer.ok_value, section)
         else:
             missing.append(answer.err_value.reason)
     found.sort(key=lambda item: (str(item.get("name")), str(item.get("instance"))))
@@ -260,7 +260,7 @@
     return Ok(Report("\n".join(lines), {section: found, "missing": sorted(missing)}))
 
 
-def _items(entry: EntryAddress, status: Any, section: str) -> list[Mapping[str, Any]]:
+def _read_section(entry: EntryAddress, status: Any, section: str) -> list[Mapping[str, Any]]:
     listed = status.get(section) if isinstance(status, dict) else None
     items = listed if isinstance(listed, list) else []
     return [{**item, "instance": str(entry)} for item in items if isinstance(item, dict)]
--- a/src/wagtailpoint/cli/options.py
+++ b/src/wagtailpoint/cli/options.py
@@ -80,7 +80,7 @@
         **arguments: Any,
     ) -> None:
         tools = click.get_current_context().find_object(Tools) or Tools()
-        found = _profile(profile, platform, entry)
+        found = _load_profile(profile, platform, entry)
         if isinstance(found, Err):
             _fail(found.err_value, as_json)
         session = Session(profile=found.ok_value, tools=tools)
@@ -94,7 +94,7 @@
         click.echo(format_json(report.data) if as_json else report.text)
         raise SystemExit(int(report.exit_code))
 
-    decorated: Callable[..., None] = _decorate(run, _SESSION_OPTIONS)
+    decorated: Callable[..., None] = _add_options(run, _SESSION_OPTIONS)
     return decorated
 
 
@@ -115,17 +115,17 @@
         options = ChangeOptions(author, message, base_version, wait, wait_timeout)
         return await function(session, options=options, **arguments)
 
-    decorated: Command = _decorate(call, _CHANGE_OPTIONS)
+    decorated: Command = _add_options(call, _CHANGE_OPTIONS)
     return decorated
 
 
-def _decorate(function: Any, options: tuple[Callable[[Any], Any], ...]) -> Any:
+def _add_options(function: Any, options: tuple[Callable[[Any], Any], ...]) -> Any:
     for option in reversed(options):
         function = option(function)
     return function
 
 
-def _profile(
+def _load_profile(
     path: Path | None, platform: tuple[EntryAddress, ...], entries: tuple[EntryAddress, ...]
 ) -> Result[Profile, InvalidInput]:
     """The profile file, with the command line before it."""
--- a/src/wagtailpoint/cli/quarantine_commands.py
+++ b/src/wagtailpoint/cli/quarantine_commands.py
@@ -37,11 +37,11 @@
 ) -> Result[Report, CommandError]:
     """Show which requests are refused, and which backend servers each has crashed."""
     async with session.open_objects(_endpoint(store)) as opened:
-        listed = await _listed(opened)
+        listed = await _list_quarantined_objects(opened)
     if isinstance(listed, Err):
         return listed
-    reports = [report for each in listed.ok_value.values() if (report := decode_report(each))]
-    data = {"quarantined": [_report_data(each) for each in reports]}
+    reports = [report for stored in listed.ok_value.values() if (report := decode_report(stored))]
+    data = {"quarantined": [_report_data(report) for report in reports]}
     return Ok(Report(_format_reports(reports), data))
 
 
@@ -57,10 +57,10 @@
     They are named by their digests, as the list and the instances' logs show them.
     """
     async with session.open_objects(_endpoint(store)) as opened:
-        listed = await _listed(opened)
+        listed = await _list_quarantined_objects(opened)
         if isinstance(listed, Err):
             return listed
-        unknown = [each for each in digests if each not in listed.ok_value]
+        unknown = [digest for digest in digests if digest not in listed.ok_value]
         if unknown:
             expected = "a digest of `wagtailpoint quarantine list`"
             return Err(wrong_input("DIGEST", ", ".join(unknown), expected))
@@ -76,21 +76,22 @@
     return Endpoint(store.address, store.port) if store is not None else None
 
 
-async def _listed(
+async def _list_quarantined_objects(
     opened: Result[Platform, InvalidInput],
 ) -> Result[Mapping[str, StoredObject], InvalidInput | PlatformUnavailable]:
     """What the platform lists by name, if it could be opened."""
     if isinstance(opened, Err):
         return opened
     listing = await opened.ok_value.list(kind=KIND)
-    return listing.map(lambda found: {each.name: each for each in found.objects})
+    return listing.map(lambda found: {stored.name: stored for stored in found.objects})
 
 
 def _format_reports(reports: list[CrashReport]) -> str:
     if not reports:
         return "no request is quarantined"
     rows = [
-        [each.fingerprint, each.method, each.host, each.target, _servers(each)] for each in reports
+        [report.fingerprint, report.method, report.host, report.target, _format_servers(report)]
+        for report in reports
     ]
     return format_table(["digest", "method", "host", "target", "crashed"], rows)
 
@@ -105,5 +106,5 @@
     }
 
 
-def _servers(report: CrashReport) -> str:
+def _format_servers(report: CrashReport) -> str:
     return ",".join(start.server_id for start in report.starts)
--- a/src/wagtailpoint/cli/session.py
+++ b/src/wagtailpoint/cli/session.py
@@ -11,7 +11,7 @@
 from result import Err, Ok, Result
 
 from wagtailpoint.adapters.platform_http import HttpPlatform
-from wagtailpoint.cli.failures import EntryUnreachable, InvalidTogether, wrong_input
+from wagtailpoint.cli.failures import EntryUnreachable, InvalidMergedConfig, wrong_input
 from wagtailpoint.cli.profile import EntryAddress, Profile
 from wagtailpoint.config.compile import compile_config
 from wagtailpoint.config.manifest import Snapshot
@@ -99,7 +99,7 @@
     """
     compiled = compile_config(version=snapshot.change.version, objects=snapshot.objects)
     if isinstance(compiled, Err):
-        raise InvalidTogether(compiled.err_value.mistakes)
+        raise InvalidMergedConfig(compiled.err_value.mistakes)
 
 
 class Session:
--- a/src/wagtailpoint/cli/waiting.py
+++ b/src/wagtailpoint/cli/waiting.py
@@ -96,23 +96,25 @@
         progress: Is told each time that more instances enforce the version.
     """
     report = WaitReport(version)
-    shown = -1
+    reported_count = -1
     with trio.move_on_after(timeout_s):
         while True:
-            report = await _look(session, version)
-            if len(report.enforcing) != shown:
-                shown = len(report.enforcing)
-                total = shown + len(report.lagging)
-                progress(f"version {version}: in force on {shown} of {total} instances")
+            report = await _poll_entries(session, version)
+            if len(report.enforcing) != reported_count:
+                reported_count = len(report.enforcing)
+                total = reported_count + len(report.lagging)
+                progress(f"version {version}: in force on {reported_count} of {total} instances")
             if report.done:
-                report = report._replace(unseen=await _unseen(session, report))
+                report = report._replace(unseen=await _find_unseen_instances(session, report))
             if report.done:
                 break
             await trio.sleep(LIST_INTERVAL_S if report.unseen else POLL_INTERVAL_S)
     return report
 
 
-async def _unseen(session: Session, report: WaitReport) -> tuple[ListedInstance, ...]:
+async def _find_unseen_instances(
+    session: Session, report: WaitReport
+) -> tuple[ListedInstance, ...]:
     """The instances that are live as far as the platform knows, and that nobody speaks for.
 
     An instance that is cut off from all others is dead to them and may still serve its callers by
@@ -127,7 +129,7 @@
     return tuple(instance for instance in live if instance.address not in seen)
 
 
-async def _look(session: Session, version: int) -> WaitReport:
+async def _poll_entries(session: Session, version: int) -> WaitReport:
     """Ask all named entries once.
 
     One entry's view may be wrong (cut off from a part of the fleet, it does not see what lags
@@ -142,7 +144,7 @@
             continue
         for member in read_members(answer.ok_value):
             key = (member.entry, member.incarnation)
-            members[key] = _newer(members.get(key), member)
+            members[key] = _merge_views(members.get(key), member)
     live = [members[key] for key in sorted(members) if members[key].must_enforce]
     enforcing = [member for member in live if (member.config_version or 0) >= version]
     lagging = [member for member in live if (member.config_version or 0) < version]
@@ -155,10 +157,10 @@
     )
 
 
-def _newer(known: Member | None, other: Member) -> Member:
+def _merge_views(known: Member | None, reported: Member) -> Member:
     """Unite two views of one instance: it never goes back to an older version."""
     if known is None:
-        return other
-    version = max(known.config_version or 0, other.config_version or 0)
-    live = known if known.must_enforce else other
+        return reported
+    version = max(known.config_version or 0, reported.config_version or 0)
+    live = known if known.must_enforce else reported
     return live._replace(config_version=version)
