--- a/src/wagtailpoint/cli/__init__.py
+++ b/src/wagtailpoint/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command-line tool."""
+"""The command-line tool for operators."""
--- a/src/wagtailpoint/cli/__main__.py
+++ b/src/wagtailpoint/cli/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m wagtailpoint.cli`` is the program ``wagtailpoint``."""
+"""Runs the program ``wagtailpoint`` for ``python -m wagtailpoint.cli``."""
 
 from wagtailpoint.cli.main import main
 
--- a/src/wagtailpoint/cli/changing.py
+++ b/src/wagtailpoint/cli/changing.py
@@ -1,7 +1,7 @@
-"""One way for every command that changes the configuration.
+"""The steps that all commands share that change the configuration.
 
-Read, edit, check the whole result, and only then ask the platform to write it; a change that was
-accepted is followed until every instance enforces it, if asked for.
+The current configuration is read and edited, and the whole result is checked before the platform is
+asked to write it. With ``--wait`` the command then waits until every instance enforces the change.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -23,14 +23,14 @@
 
 
 class ChangeOptions(NamedTuple):
-    """The options of every command that changes something.
+    """The options of every command that changes the configuration.
 
     Attributes:
-        author: Who makes the change; None takes the profile's or the system's user.
-        message: Why.
-        base_version: The version that the operator looked at; None takes the newest.
-        wait: Wait until the change is in force.
-        wait_timeout_s: How long, in seconds.
+        author: Name of the author; None takes the author of the profile, or else the system's user.
+        message: Reason for the change, shown in the history; empty takes the message of the edit.
+        base_version: Version that the change was prepared against; None takes the newest.
+        wait: Whether to wait until the change is in force.
+        wait_timeout_s: Longest time to wait, in seconds.
     """
 
     author: str | None = None
@@ -41,7 +41,13 @@
 
 
 class Edit(NamedTuple):
-    """What a command wants to change, with the message used when the operator gives none."""
+    """The objects that a command puts and deletes.
+
+    Attributes:
+        puts: New values by ``kind/name``.
+        deletes: Keys, ``kind/name``, of the objects to delete.
+        message: Message of the change when the operator gives none.
+    """
 
     puts: Mapping[str, Any]
     deletes: Sequence[str]
@@ -49,7 +55,7 @@
 
 
 class Current(NamedTuple):
-    """The newest configuration; version 0 without objects before the first change."""
+    """The newest configuration; version 0 without objects if there was no change yet."""
 
     version: int
     objects: Mapping[str, Any]
@@ -67,22 +73,22 @@
 
 
 def current_from_snapshot(snapshot: Snapshot | None) -> Current:
-    """A snapshot, or the empty configuration."""
+    """Convert a snapshot; None gives the empty configuration."""
     return Current(snapshot.change.version, snapshot.objects) if snapshot else Current(0, {})
 
 
 async def change(
     session: Session, make_edit: MakeEdit, options: ChangeOptions
 ) -> Result[Report, CommandError]:
-    """Make one change.
+    """Make one change of the configuration.
 
     Args:
-        session: The run.
-        make_edit: From the current objects to what shall change.
-        options: The operator's options.
+        session: The session of this run.
+        make_edit: Derives the edit from the current objects.
+        options: The options that the operator gave.
     """
     if options.wait and not session.profile.entries:
-        return Err(wrong_input("--entry", "nothing", "the address of an entry, for --wait"))
+        return Err(wrong_input("--entry", "nothing", "the address of an entry, which --wait needs"))
     async with session.open_store() as opened:
         if isinstance(opened, Err):
             return opened
@@ -102,11 +108,11 @@
     edit = edited.ok_value
     puts = {key: value for key, value in edit.puts.items() if current.objects.get(key) != value}
     if not puts and not edit.deletes:
-        text = f"nothing to change: version {current.version} has it already"
+        text = f"nothing to change: version {current.version} already has this content"
         report = Report(text, {"changed": False, "version": current.version})
         return Ok(await wait_if_requested(session, report, current.version, options))
-    # An instance keeps its last good configuration when it meets one that it can't compile, so a
-    # wrong change would be accepted and never come into force. It must not reach the platform.
+    # An instance that can't compile a configuration keeps its last valid one. An invalid change
+    # would be accepted by the platform and never come into force, so it is refused here.
     merged = {key: value for key, value in current.objects.items() if key not in edit.deletes}
     checked = compile_config(version=current.version + 1, objects=merged | puts)
     if isinstance(checked, Err):
@@ -133,7 +139,7 @@
     deleted: Sequence[str],
     options: ChangeOptions,
 ) -> Report:
-    """Say what landed, and follow it if asked for."""
+    """Report a change that was written, and wait until it is in force if requested."""
     info = snapshot.change
     lines = [format_change(info)]
     lines += [f"  put {key}" for key in put]
@@ -151,7 +157,7 @@
 async def wait_if_requested(
     session: Session, report: Report, version: int, options: ChangeOptions
 ) -> Report:
-    """Wait until a version is in force, if the operator asked for it."""
+    """Wait until a version is in force, if requested, and add the result to the report."""
     if not options.wait:
         return report
     waited = await wait_for_version(
@@ -168,7 +174,10 @@
 
 
 def resolve_base_version(options: ChangeOptions, current: Current) -> Result[int, InvalidInput]:
-    """The version against which a change is made."""
+    """Return the version against which a change is made.
+
+    A base version that is newer than the newest version is an error.
+    """
     if options.base_version is None:
         return Ok(current.version)
     if options.base_version > current.version:
@@ -178,5 +187,5 @@
 
 
 def resolve_author(session: Session, options: ChangeOptions) -> str:
-    """Who makes the change."""
+    """Return the author of the change: of the options, the profile or the system's user."""
     return options.author or session.profile.author or default_author()
--- a/src/wagtailpoint/cli/config_commands.py
+++ b/src/wagtailpoint/cli/config_commands.py
@@ -46,9 +46,9 @@
 async def apply(
     session: Session, *, files: tuple[Path, ...], options: ChangeOptions
 ) -> Result[Report, CommandError]:
-    """Put the objects of FILES (or of all *.json in a directory) in one change.
+    """Create or replace the objects in FILES (or in all *.json of a directory) in one change.
 
-    The whole configuration that would result is checked before the platform is asked to write.
+    The whole resulting configuration is checked before anything is written to the platform.
     """
     read = read_objects(files)
     if isinstance(read, Err):
@@ -65,7 +65,7 @@
 async def delete(
     session: Session, *, keys: tuple[str, ...], options: ChangeOptions
 ) -> Result[Report, CommandError]:
-    """Delete objects that nothing refers to any more, in one change."""
+    """Delete objects that no other object refers to, in one change."""
 
     def edit(objects: Mapping[str, Any]) -> Result[Edit, InvalidInput]:
         mistakes: list[Mistake] = []
@@ -82,7 +82,7 @@
 @click.argument("what", required=False, default="", metavar="[KIND[/NAME]]")
 @run_command
 async def get(session: Session, *, what: str) -> Result[Report, CommandError]:
-    """List all objects or those of a KIND, or print the one KIND/NAME as JSON."""
+    """List all objects or those of one KIND, or print the object KIND/NAME as JSON."""
     kind, _, name = what.partition("/")
     if kind and kind not in KINDS:
         expected = f"one of: {', '.join(KINDS)}{did_you_mean(kind, KINDS)}"
@@ -119,7 +119,7 @@
 @_FILES
 @run_command
 async def diff(session: Session, *, files: tuple[Path, ...]) -> Result[Report, CommandError]:
-    """Show what apply FILES would change, field by field, and whether it would be accepted."""
+    """Show the fields that apply FILES would change, and check the resulting configuration."""
     read = read_objects(files)
     if isinstance(read, Err):
         return read
@@ -144,12 +144,15 @@
 
 @click.command()
 @click.option("--most", type=click.IntRange(min=1), default=20, show_default=True)
-@click.option("--change-id", help="Only the change with this id, for example of a lost answer.")
+@click.option(
+    "--change-id",
+    help="Only the change with this id, as shown when the outcome of a change is unknown.",
+)
 @run_command
 async def history(
     session: Session, *, most: int, change_id: str | None
 ) -> Result[Report, CommandError]:
-    """List the newest changes, the newest first."""
+    """List the latest changes, newest first."""
     async with session.open_store() as opened:
         if isinstance(opened, Err):
             return opened
@@ -164,7 +167,7 @@
     text = format_table(["version", "time", "author", "message", "change id"], rows)
     missing = change_id is not None and not changes
     if missing:
-        text = f"change {change_id} is not among the newest {most}"
+        text = f"change {change_id} is not among the newest {most} changes"
     data = {"changes": [change_data(info) for info in changes]}
     return Ok(Report(text, data, ExitCode.FAILED if missing else ExitCode.OK))
 
@@ -176,9 +179,9 @@
 async def revert(
     session: Session, *, to_version: int, options: ChangeOptions
 ) -> Result[Report, CommandError]:
-    """Write the content of an older VERSION as a newer one, in one step."""
+    """Write the content of an older VERSION as a new version, in one change."""
     if options.wait and not session.profile.entries:
-        return Err(wrong_input("--entry", "nothing", "the address of an entry, for --wait"))
+        return Err(wrong_input("--entry", "nothing", "the address of an entry, which --wait needs"))
     async with session.open_store() as opened:
         if isinstance(opened, Err):
             return opened
@@ -244,7 +247,11 @@
 
 
 def _classify_files(files: tuple[Path, ...]) -> tuple[dict[Path, Any], list[Path]]:
-    """Tell settings files, which have an address, from object files; mistakes come later."""
+    """Separate settings files from object files.
+
+    Only settings files have an ``address``. Files that can't be read or parsed count as object
+    files, so that reading the objects reports their mistakes.
+    """
     settings_files: dict[Path, Any] = {}
     object_files: list[Path] = []
     for path in files:
--- a/src/wagtailpoint/cli/differences.py
+++ b/src/wagtailpoint/cli/differences.py
@@ -1,4 +1,4 @@
-"""What differs between two configurations, field by field."""
+"""Compares two configurations field by field."""
 
 from collections.abc import Iterator, Mapping, Sequence
 from typing import Any, Final, Literal, NamedTuple
@@ -13,10 +13,10 @@
 
     Attributes:
         key: The object, ``kind/name``.
-        field: The field in it; empty when the whole object is new or gone.
-        action: What happens to it.
-        before: Its value before; None if it was missing.
-        after: Its value after; None if it is gone.
+        field: Path of the field in the object; empty if the whole object was added or removed.
+        action: Whether the field is added, changed or removed.
+        before: Value before the change; None if the field is added.
+        after: Value after the change; None if the field is removed.
     """
 
     key: str
@@ -36,7 +36,7 @@
 
 
 def format_differences(differences: Sequence[Difference]) -> str:
-    """Write differences for people."""
+    """Format differences as text, one per line."""
     if not differences:
         return "nothing would change"
     return "\n".join(_format_difference(difference) for difference in differences)
--- a/src/wagtailpoint/cli/entry_commands.py
+++ b/src/wagtailpoint/cli/entry_commands.py
@@ -1,4 +1,4 @@
-"""Commands that ask the entries: status, timeline and lookup."""
+"""Commands that query the entries: status, timeline and lookup."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any
@@ -21,7 +21,7 @@
 @click.command()
 @run_command
 async def status(session: Session) -> Result[Report, CommandError]:
-    """Show one entry's state and the instances that it sees."""
+    """Show the state of one entry and of the instances that it knows."""
     answer = await session.ask_any("/v1/status")
     if isinstance(answer, Err):
         return answer
@@ -47,21 +47,21 @@
 
 
 @click.command()
-@click.option("--since", help="Only events after this time stamp (hlc).")
+@click.option("--since", help="Only events after this timestamp (hlc).")
 @click.option(
     "--where",
     "wheres",
     multiple=True,
     metavar="FIELD=VALUE",
-    help="Only events with this field; may be repeated.",
+    help="Only events whose FIELD has this VALUE; may be repeated.",
 )
 @run_command
 async def timeline(
     session: Session, *, since: str | None, wheres: tuple[str, ...]
 ) -> Result[Report, CommandError]:
-    """Show the events of all instances as one line of time.
+    """Show the events of all instances in one timeline.
 
-    The entries named and every instance that they see are asked.
+    Queries the given entries and every instance that they know.
     """
     if any("=" not in where for where in wheres):
         return Err(wrong_input("--where", ", ".join(wheres), "FIELD=VALUE"))
@@ -90,10 +90,10 @@
 
 @click.command()
 @click.option("--workspace", required=True)
-@click.option("--client", required=True, metavar="IP-NUMBER", help="The caller's address.")
+@click.option("--client", required=True, metavar="IP-NUMBER", help="Address of the caller.")
 @run_command
 async def lookup(session: Session, *, workspace: str, client: str) -> Result[Report, CommandError]:
-    """Ask which entries a caller of a workspace would be told to use."""
+    """Show the entries that a lookup by a caller of a workspace returns."""
     if not is_ip_number(client):
         return Err(wrong_input("--client", client, 'an IP number such as "10.0.0.7"'))
     query = urlencode({"workspace": workspace, "address": client})
--- a/src/wagtailpoint/cli/exit_codes.py
+++ b/src/wagtailpoint/cli/exit_codes.py
@@ -1,10 +1,10 @@
-"""The exit codes of the command-line tool, for scripts to rely on."""
+"""The exit codes of the command-line tool. Scripts rely on them, so they stay stable."""
 
 from enum import IntEnum
 
 
 class ExitCode(IntEnum):
-    """Why a command ended; listed for operators in ``docs/operators.md``."""
+    """The outcome of a command; documented for operators in ``docs/operators.md``."""
 
     OK = 0
     FAILED = 1
--- a/src/wagtailpoint/cli/failures.py
+++ b/src/wagtailpoint/cli/failures.py
@@ -1,4 +1,4 @@
-"""How each kind of error is shown, and the exit code that it leads to."""
+"""Maps each kind of error to its message and exit code."""
 
 from functools import singledispatch
 from typing import Any, NamedTuple
@@ -10,17 +10,17 @@
 
 
 class EntryUnreachable(NamedTuple):
-    """No entry instance gave a usable answer.
+    """No usable answer came from the entry instances that were asked.
 
     Attributes:
-        reason: What each of them did, or that none was named.
+        reason: Address and error of each of them.
     """
 
     reason: str
 
 
 class InvalidMergedConfig(InvalidInput):
-    """The change was valid, but not together with another one that landed meanwhile."""
+    """A change is valid by itself, but not when merged with a concurrent change."""
 
 
 CommandError = (
@@ -29,12 +29,12 @@
 
 
 class Failure(NamedTuple):
-    """An error, ready to be shown.
+    """The description of an error for the user.
 
     Attributes:
-        exit_code: The exit code.
-        message: For people.
-        details: More fields for ``--json``.
+        exit_code: Exit code of the command.
+        message: Text for people.
+        details: Additional fields for ``--json``.
     """
 
     exit_code: ExitCode
@@ -51,13 +51,13 @@
 
 
 def wrong_input(path: str, given: str, expected: str) -> InvalidInput:
-    """One mistake as an error."""
+    """Return an error with a single mistake."""
     return InvalidInput([Mistake(path, given, expected)])
 
 
 @singledispatch
 def describe(error: Any) -> Failure:
-    """Describe an error."""
+    """Return the message and exit code of an error."""
     return Failure(ExitCode.FAILED, f"failed: {error}", {})
 
 
@@ -73,7 +73,7 @@
 def _(error: ApplyConflict) -> Failure:
     message = (
         f"conflict, nothing was changed: {', '.join(error.objects)} was changed meanwhile in "
-        f"{format_change(error.other)}\nlook at it (wagtailpoint get), then try again"
+        f"{format_change(error.other)}\nread it with `wagtailpoint get`, then retry"
     )
     details = {"other": change_data(error.other), "objects": list(error.objects)}
     return Failure(ExitCode.CONFLICT, message, details)
@@ -82,8 +82,8 @@
 @describe.register
 def _(error: OutcomeUnknown) -> Failure:
     message = (
-        f"outcome unknown: the change may or may not have landed ({error})\n"
-        "look for it in `wagtailpoint history` once the platform answers, before you repeat it"
+        f"outcome unknown: the change may or may not have been written ({error})\n"
+        "check `wagtailpoint history` once the platform answers, before you repeat the change"
     )
     return Failure(ExitCode.UNKNOWN_OUTCOME, message, {})
 
@@ -103,8 +103,9 @@
 def _(error: InvalidMergedConfig) -> Failure:
     lines = "\n".join(f"  {mistake}" for mistake in error.mistakes)
     message = (
-        "conflict, nothing was changed: another change landed meanwhile (wagtailpoint history) "
-        f"and this one is wrong together with it:\n{lines}"
+        "conflict, nothing was changed: another change was written meanwhile "
+        "(see `wagtailpoint history`), and this one is invalid in combination with it:\n"
+        f"{lines}"
     )
     mistakes = [mistake._asdict() for mistake in error.mistakes]
     return Failure(ExitCode.CONFLICT, message, {"mistakes": mistakes})
--- a/src/wagtailpoint/cli/log_commands.py
+++ b/src/wagtailpoint/cli/log_commands.py
@@ -1,4 +1,4 @@
-"""Commands that read the instances' logs, with neither entries nor the platform."""
+"""Commands that read the logs of instances and need neither entries nor the platform."""
 
 from collections.abc import Sequence
 from typing import Any, TextIO
@@ -20,8 +20,8 @@
 async def versions(session: Session, *, logs: tuple[TextIO, ...]) -> Result[Report, CommandError]:
     """Show from LOGS when each configuration came into force, and on which instance last.
 
-    Below that, what each instance has in force at the end. A log may hold lines of many instances;
-    "-" reads standard input.
+    A second table shows the version that each instance enforces at the end of the logs. A log may
+    contain lines of several instances; "-" reads standard input.
     """
     history = VersionHistory(lines=(line for log in logs for line in read_log_lines(log)))
     spreads, instances = history.versions, history.instances
--- a/src/wagtailpoint/cli/main.py
+++ b/src/wagtailpoint/cli/main.py
@@ -1,4 +1,4 @@
-"""The operators' command-line tool, ``wagtailpoint``."""
+"""The command-line tool ``wagtailpoint`` with all its commands."""
 
 import click
 
@@ -10,22 +10,22 @@
 from wagtailpoint.cli.session import Tools
 from wagtailpoint.cli.workspace_commands import workspace
 
-# "\b" keeps click from joining the lines of the paragraph.
+# "\b" keeps click from rewrapping the paragraph.
 _EXIT_CODES = """\b
 Exit codes:
   0  done
   1  failed
   2  wrong input; nothing was changed
-  3  conflict: somebody else changed the same objects; nothing was changed
-  4  unknown outcome: look into the history before you repeat it
+  3  conflict with a concurrent change; nothing was changed
+  4  unknown outcome: check the history before you repeat the change
   5  platform unavailable; nothing was changed
-  6  the change landed, but --wait timed out before it was in force everywhere
+  6  the change was written, but --wait timed out before it was in force everywhere
 """
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]}, epilog=_EXIT_CODES)
 def cli() -> None:
-    """Declare what the traffic system shall do, and see whether it does."""
+    """Configure and inspect the traffic steering system."""
 
 
 for _command in (
@@ -49,5 +49,5 @@
 
 
 def main() -> None:
-    """Run the tool."""
+    """Run the command-line tool."""
     cli(obj=Tools(), prog_name="wagtailpoint")
--- a/src/wagtailpoint/cli/move_commands.py
+++ b/src/wagtailpoint/cli/move_commands.py
@@ -24,12 +24,12 @@
 
 @click.group()
 def move() -> None:
-    """Plan and steer moves of a workspace's traffic to other backend servers."""
+    """Plan and control moves of a workspace's traffic to other backend servers."""
 
 
 @click.group()
 def drain() -> None:
-    """Take new work away from backend servers or failure domains."""
+    """Drain backend servers or failure domains, so that they receive no new requests."""
 
 
 @move.command("start")
@@ -38,7 +38,9 @@
 @click.option("--service", required=True)
 @click.option("--to", "to_group", required=True, metavar="GROUP")
 @click.option("--from", "from_group", metavar="GROUP", help="Default: the workspace's group.")
-@click.option("--cap-rps", type=float, required=True, help="Most requests a second to the group.")
+@click.option(
+    "--cap-rps", type=float, required=True, help="Maximum requests per second to the new group."
+)
 @click.option(
     "--step",
     "steps",
@@ -46,9 +48,15 @@
     multiple=True,
     default=_DEFAULT_STEPS,
     show_default=True,
-    help="A part of the traffic (0 to 1); may be repeated, rising.",
+    help="Fraction of the traffic (0 to 1) in one step; may be repeated, in rising order.",
+)
+@click.option(
+    "--hold-s",
+    type=float,
+    default=30.0,
+    show_default=True,
+    help="Duration of each step, in seconds.",
 )
-@click.option("--hold-s", type=float, default=30.0, show_default=True, help="Seconds a step.")
 @run_command
 @with_change_options
 async def start_move(
@@ -68,7 +76,7 @@
 
     def edit(objects: Mapping[str, Any]) -> Result[Edit, InvalidInput]:
         if f"move/{name}" in objects:
-            return Err(wrong_input("NAME", name, "a new name; a move of this name exists"))
+            return Err(wrong_input("NAME", name, "a name that no move has yet"))
         value = {
             "workspace": workspace,
             "service": service,
@@ -91,7 +99,7 @@
 async def pause_move(
     session: Session, *, name: str, options: ChangeOptions
 ) -> Result[Report, CommandError]:
-    """Hold the move NAME where it is."""
+    """Pause the move NAME at its current step."""
     return await _set_state(session, name, "pause", options)
 
 
@@ -102,7 +110,7 @@
 async def resume_move(
     session: Session, *, name: str, options: ChangeOptions
 ) -> Result[Report, CommandError]:
-    """Go on with the move NAME."""
+    """Resume the paused move NAME."""
     return await _set_state(session, name, "run", options)
 
 
@@ -113,7 +121,10 @@
 async def abort_move(
     session: Session, *, name: str, options: ChangeOptions
 ) -> Result[Report, CommandError]:
-    """Send all traffic of the move NAME back at once; delete the move afterwards."""
+    """Return all traffic of the move NAME to its old group at once.
+
+    The move stays in the configuration until it is deleted: wagtailpoint delete move/NAME.
+    """
     return await _set_state(session, name, "abort", options)
 
 
@@ -124,10 +135,10 @@
 async def finish_move(
     session: Session, *, name: str, options: ChangeOptions
 ) -> Result[Report, CommandError]:
-    """Settle the workspace at its new group and delete the move NAME, in one change.
+    """Assign the workspace to its new group and delete the move NAME, in one change.
 
-    Two changes would send the traffic back in between: deleted first, the workspace still names
-    its old group.
+    Deleting the move in a change of its own would send the traffic back in between, as the
+    workspace would still refer to its old group.
     """
 
     def edit(objects: Mapping[str, Any]) -> Result[Edit, InvalidInput]:
@@ -140,7 +151,9 @@
         body = objects[f"template/{source['template']}"]["workspace"]
         group = body["groups"][plan["service"]]
         if not (group.startswith("${") and group.endswith("}")):
-            expected = f"a parameter, to be set to {plan['to_group']!r}; change the template"
+            expected = (
+                f"a template parameter that can be set to {plan['to_group']!r}; change the template"
+            )
             return Err(wrong_input(f"{key}: groups.{plan['service']}", group, expected))
         parameters = source.get("parameters", {}) | {group[2:-1]: plan["to_group"]}
         puts = {key: source | {"parameters": parameters}}
@@ -172,7 +185,7 @@
 
     def edit(objects: Mapping[str, Any]) -> Result[Edit, InvalidInput]:
         if f"drain/{name}" in objects:
-            return Err(wrong_input("NAME", name, "a new name; a drain of this name exists"))
+            return Err(wrong_input("NAME", name, "a name that no drain has yet"))
         return Ok(Edit({f"drain/{name}": value}, (), f"start drain/{name}"))
 
     return await change(session, edit, options)
@@ -185,7 +198,7 @@
 async def stop_drain(
     session: Session, *, name: str, options: ChangeOptions
 ) -> Result[Report, CommandError]:
-    """End the drain NAME: what was drained gets new work again."""
+    """Stop the drain NAME, so that its backend servers receive new requests again."""
 
     def edit(objects: Mapping[str, Any]) -> Result[Edit, InvalidInput]:
         found = _find_object(objects, "drain", name)
@@ -197,14 +210,14 @@
 @move.command("show")
 @run_command
 async def show_moves(session: Session) -> Result[Report, CommandError]:
-    """Show the step of each move, as each instance knows it."""
+    """Show the current step of each move as known to each instance."""
     return await _show_section(session, "moves", _MOVE_FIELDS)
 
 
 @drain.command("show")
 @run_command
 async def show_drains(session: Session) -> Result[Report, CommandError]:
-    """Show what is still in flight at the backend servers of each drain."""
+    """Show how many requests are still in flight at the backend servers of each drain."""
     return await _show_section(session, "drains", _DRAIN_FIELDS)
 
 
@@ -229,7 +242,10 @@
 
 
 def _current_group(objects: Mapping[str, Any], workspace: str, service: str) -> str:
-    """The group that serves the workspace now; empty if there is none, which is refused later."""
+    """Return the group that serves the workspace.
+
+    It is empty if it can't be determined; the check of the whole configuration refuses that.
+    """
     compiled = compile_config(version=1, objects=objects)
     if isinstance(compiled, Err) or workspace not in compiled.ok_value.workspaces:
         return ""
--- a/src/wagtailpoint/cli/options.py
+++ b/src/wagtailpoint/cli/options.py
@@ -1,4 +1,4 @@
-"""The options that commands have in common, and the running of a command."""
+"""The options that commands share, and the code that runs a command."""
 
 import functools
 from collections.abc import Awaitable, Callable
@@ -28,32 +28,36 @@
         multiple=True,
         type=AddressType(),
         metavar="ADDRESS:PORT",
-        help="A server of the platform's object API; may be repeated.",
+        help="Address of a server of the platform's object API; may be repeated.",
     ),
     click.option(
         "--entry",
         multiple=True,
         type=AddressType(),
         metavar="ADDRESS:PORT",
-        help="An entry instance to ask; may be repeated, the others are learnt from it.",
+        help="Address of an entry instance, which also names the others; may be repeated.",
     ),
     click.option(
         "--profile",
         type=click.Path(path_type=Path),
         envvar=PROFILE_VARIABLE,
         show_envvar=True,
-        help="A JSON file with platform, entries and author.",
+        help="JSON file with platform, entries and author.",
     ),
     click.option("--json", "as_json", is_flag=True, help="Print one JSON document."),
 )
 
 _CHANGE_OPTIONS = (
-    click.option("--author", envvar=AUTHOR_VARIABLE, show_envvar=True, help="Who changes it."),
-    click.option("-m", "--message", default="", help="Why; shown in the history."),
+    click.option(
+        "--author", envvar=AUTHOR_VARIABLE, show_envvar=True, help="Author of the change."
+    ),
+    click.option(
+        "-m", "--message", default="", help="Reason for the change, shown in the history."
+    ),
     click.option(
         "--base-version",
         type=click.IntRange(min=0),
-        help="The version that you looked at: later changes of the same objects are a conflict.",
+        help="Version that the change is based on; later changes of its objects are a conflict.",
     ),
     click.option("--wait", is_flag=True, help="Wait until every live instance enforces it."),
     click.option(
@@ -62,13 +66,16 @@
         default=ChangeOptions().wait_timeout_s,
         show_default=True,
         metavar="SECONDS",
-        help="How long to wait.",
+        help="Longest time to wait, in seconds.",
     ),
 )
 
 
 def run_command(function: Command) -> Callable[..., None]:
-    """Turn an async function into a command: it gets a session and its outcome is printed."""
+    """Turn an async function into a command.
+
+    The function receives a session; its report or error is printed and sets the exit code.
+    """
 
     @functools.wraps(function)
     def run(
@@ -99,7 +106,7 @@
 
 
 def with_change_options(function: Command) -> Command:
-    """Add the options of a change; the function gets them as ``options``."""
+    """Add the options of a change, which the function receives as ``options``."""
 
     @functools.wraps(function)
     async def call(
@@ -128,7 +135,7 @@
 def _load_profile(
     path: Path | None, platform: tuple[EntryAddress, ...], entries: tuple[EntryAddress, ...]
 ) -> Result[Profile, InvalidInput]:
-    """The profile file, with the command line before it."""
+    """Read the profile file, if any; addresses on the command line take precedence."""
 
     def override(profile: Profile) -> Profile:
         servers = tuple(PlatformAddress(*address) for address in platform)
--- a/src/wagtailpoint/cli/output.py
+++ b/src/wagtailpoint/cli/output.py
@@ -1,4 +1,4 @@
-"""What a command prints: a table or text for people, one JSON document for scripts."""
+"""Formats the output of commands: text and tables for people, JSON for scripts."""
 
 import json
 from collections.abc import Mapping, Sequence
@@ -13,9 +13,10 @@
     """The outcome of a command.
 
     Attributes:
-        text: For people.
-        data: For ``--json``.
-        exit_code: Not ``OK`` when the command did its work and something is still amiss.
+        text: Output for people.
+        data: Output for ``--json``.
+        exit_code: Other than ``OK`` if the command ran but did not fully reach its goal, for
+            example because ``--wait`` timed out.
     """
 
     text: str
@@ -24,12 +25,12 @@
 
 
 def format_json(value: Any) -> str:
-    """Write JSON for people and scripts alike."""
+    """Format a value as indented JSON."""
     return json.dumps(value, indent=2, ensure_ascii=False)
 
 
 def format_table(headers: Sequence[str], rows: Sequence[Sequence[Any]]) -> str:
-    """Write rows in columns as wide as their widest cell."""
+    """Format rows as a table whose columns are as wide as their widest cell."""
     cells = [list(headers), *([format_cell(cell) for cell in row] for row in rows)]
     widths = [max(len(row[column]) for row in cells) for column in range(len(headers))]
     lines = [
@@ -40,7 +41,7 @@
 
 
 def format_cell(value: Any) -> str:
-    """Write one value in a table's cell."""
+    """Format one value as a table cell; None becomes ``-``."""
     if value is None:
         return "-"
     if isinstance(value, str):
@@ -49,23 +50,26 @@
 
 
 def format_time(time_s: float) -> str:
-    """Write seconds since the epoch as a date and time in UTC."""
+    """Format seconds since the Unix epoch as a date and time in UTC."""
     return datetime.fromtimestamp(time_s, UTC).strftime("%Y-%m-%d %H:%M:%SZ")
 
 
 def format_change(change: ChangeInfo) -> str:
-    """Write one change in a line."""
+    """Format one change as a single line."""
     reason = f": {change.message}" if change.message else ""
     return f"version {change.version} by {change.author} at {format_time(change.time_s)}{reason}"
 
 
 def change_data(change: ChangeInfo) -> dict[str, Any]:
-    """One change as JSON."""
+    """Convert one change to a JSON object."""
     return change._asdict()
 
 
 def format_sections(sections: Mapping[str, Any]) -> str:
-    """Write JSON of unknown shape: lists of objects as tables, objects as lines, or a value."""
+    """Format JSON of unknown structure.
+
+    A list of objects becomes a table, an object a table of its fields, any other value one line.
+    """
     return "\n\n".join(_format_section(name, value) for name, value in sections.items())
 
 
--- a/src/wagtailpoint/cli/profile.py
+++ b/src/wagtailpoint/cli/profile.py
@@ -1,4 +1,4 @@
-"""Where the tool finds the platform and the entries: by options or by a profile file."""
+"""Addresses of the platform and the entries, from options or from a profile file."""
 
 import getpass
 from pathlib import Path
@@ -13,7 +13,7 @@
 
 
 class EntryAddress(NamedTuple):
-    """Where an entry instance listens for HTTP."""
+    """Address and port at which an entry instance listens for HTTP."""
 
     address: str
     port: int
@@ -23,12 +23,12 @@
 
 
 class Profile(NamedTuple):
-    """Where to find everything.
+    """Addresses of the platform and the entries, and the default author of changes.
 
     Attributes:
-        platform: The servers of the platform's object API.
-        entries: Entry instances that are asked for status; the others are learnt from them.
-        author: Written into each change; None takes the name of the system's user.
+        platform: Servers of the platform's object API.
+        entries: Entry instances to query; their status names the other instances.
+        author: Author recorded in each change; None takes the name of the system's user.
     """
 
     platform: tuple[PlatformAddress, ...] = ()
@@ -37,7 +37,7 @@
 
 
 class AddressType(click.ParamType[EntryAddress]):
-    """``ADDRESS:PORT`` on the command line."""
+    """The type of an ``ADDRESS:PORT`` argument on the command line."""
 
     name = "address:port"
 
@@ -47,7 +47,7 @@
         """Parse one address.
 
         Raises:
-            click.UsageError: It is no IP number and port.
+            click.UsageError: The value isn't an IP number with a port.
         """
         if isinstance(value, EntryAddress):
             return value
@@ -73,7 +73,7 @@
 
 
 def default_author() -> str:
-    """The name of the system's user; ``unknown`` where there is none."""
+    """Return the name of the system's user, or ``unknown`` if it can't be determined."""
     try:
         return getpass.getuser()
     except (KeyError, OSError):
--- a/src/wagtailpoint/cli/quarantine_commands.py
+++ b/src/wagtailpoint/cli/quarantine_commands.py
@@ -1,4 +1,4 @@
-"""Commands for requests that are kept from backend servers since they crash them."""
+"""Commands for quarantined requests: those that are refused as they crash backend servers."""
 
 from collections.abc import Mapping
 
@@ -20,13 +20,13 @@
     "--store",
     type=AddressType(),
     metavar="ADDRESS:PORT",
-    help="The object store of a deployment on the users' platform, in place of --platform.",
+    help="Object store of a deployment on the users' platform, instead of --platform.",
 )
 
 
 @click.group()
 def quarantine() -> None:
-    """Requests that crash backend servers, and are refused for that."""
+    """List requests that are refused because they crash backend servers, and lift this."""
 
 
 @quarantine.command("list")
@@ -35,7 +35,7 @@
 async def list_quarantined(
     session: Session, *, store: EntryAddress | None
 ) -> Result[Report, CommandError]:
-    """Show which requests are refused, and which backend servers each has crashed."""
+    """Show the quarantined requests and the backend servers that each has crashed."""
     async with session.open_objects(_endpoint(store)) as opened:
         listed = await _list_quarantined_objects(opened)
     if isinstance(listed, Err):
@@ -52,9 +52,9 @@
 async def lift(
     session: Session, *, digests: tuple[str, ...], store: EntryAddress | None
 ) -> Result[Report, CommandError]:
-    """Let requests pass again, for example since the service was mended.
+    """Lift the quarantine of requests, for example after the service was fixed.
 
-    They are named by their digests, as the list and the instances' logs show them.
+    DIGEST identifies a request, as shown by the list and by the logs of the instances.
     """
     async with session.open_objects(_endpoint(store)) as opened:
         listed = await _list_quarantined_objects(opened)
@@ -62,7 +62,7 @@
             return listed
         unknown = [digest for digest in digests if digest not in listed.ok_value]
         if unknown:
-            expected = "a digest of `wagtailpoint quarantine list`"
+            expected = "a digest that `wagtailpoint quarantine list` shows"
             return Err(wrong_input("DIGEST", ", ".join(unknown), expected))
         for digest in digests:
             version = listed.ok_value[digest].version
@@ -79,7 +79,7 @@
 async def _list_quarantined_objects(
     opened: Result[Platform, InvalidInput],
 ) -> Result[Mapping[str, StoredObject], InvalidInput | PlatformUnavailable]:
-    """What the platform lists by name, if it could be opened."""
+    """List the stored objects of quarantined requests by name, or return the error of opening."""
     if isinstance(opened, Err):
         return opened
     listing = await opened.ok_value.list(kind=KIND)
--- a/src/wagtailpoint/cli/session.py
+++ b/src/wagtailpoint/cli/session.py
@@ -1,4 +1,4 @@
-"""What a command works with: the platform, the entries, and how to reach them."""
+"""The connections of a command to the platform and to the entries."""
 
 import time
 from collections.abc import AsyncIterator, Awaitable, Callable, Sequence
@@ -35,13 +35,13 @@
 def open_http_platform(
     addresses: Sequence[PlatformAddress],
 ) -> AbstractAsyncContextManager[Platform]:
-    """Connect to the platform's object API."""
+    """Open a connection to the platform's object API."""
     return HttpPlatform(addresses=addresses, timeout_s=PLATFORM_TIMEOUT_S)
 
 
 @asynccontextmanager
 async def open_object_store(address: Endpoint) -> AsyncIterator[Platform]:
-    """Connect to the object store of a deployment on the users' platform."""
+    """Open a connection to the object store of a deployment on the users' platform."""
     store = ObjectStore(address=address, timeout_s=PLATFORM_TIMEOUT_S, metrics=Metrics())
     try:
         yield store
@@ -62,25 +62,25 @@
     except (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException) as error:
         return Err(EntryUnreachable(f"{entry}: {error!r}"))
     except trio.TooSlowError:
-        return Err(EntryUnreachable(f"{entry}: no answer in {ENTRY_TIMEOUT_S:g} s"))
+        return Err(EntryUnreachable(f"{entry}: no answer within {ENTRY_TIMEOUT_S:g} s"))
     if response.status != _HTTP_OK:
         text = response.content.decode(errors="replace")[:200]
         return Err(EntryUnreachable(f"{entry}: answered {response.status} {text}"))
     try:
         return Ok(msgspec.json.decode(response.content))
     except msgspec.DecodeError as error:
-        return Err(EntryUnreachable(f"{entry}: no JSON: {error}"))
+        return Err(EntryUnreachable(f"{entry}: answer is no JSON: {error}"))
 
 
 class Tools(NamedTuple):
-    """How the outside is reached; tests put fakes in their place.
+    """The functions that access the network and the clock; tests replace them by fakes.
 
     Attributes:
-        open_platform: Connects to the platform.
+        open_platform: Connects to the platform's object API.
         open_store: Connects to the object store of a deployment on the users' platform.
         fetch: Gets a JSON document from an entry.
-        clock_wall: Seconds since the epoch.
-        settle_s: How long a write with a lost answer is looked for, in seconds.
+        clock_wall: Returns the seconds since the Unix epoch.
+        settle_s: Longest time, in seconds, to read back a write whose answer was lost.
     """
 
     open_platform: OpenPlatform = open_http_platform
@@ -91,11 +91,15 @@
 
 
 def _check_merged(snapshot: Snapshot) -> None:
-    """Refuse a change that is wrong together with others that landed meanwhile.
+    """Refuse a change that is invalid when merged with concurrent changes.
 
-    The store merges changes of different objects, and each was checked without the other (one
-    deletes a workspace, one plans its move). Instances keep their last good configuration, so the
-    result would be accepted and never come into force.
+    The store merges concurrent changes of different objects, each of which was checked without the
+    other: for example, one deletes a workspace and one plans its move. Instances that can't compile
+    the result keep their last valid configuration, so it would be accepted and never come into
+    force.
+
+    Raises:
+        InvalidMergedConfig: The merged configuration is invalid.
     """
     compiled = compile_config(version=snapshot.change.version, objects=snapshot.objects)
     if isinstance(compiled, Err):
@@ -103,7 +107,7 @@
 
 
 class Session:
-    """One run of the tool."""
+    """The profile and the connections of one run of the tool."""
 
     def __init__(self, *, profile: Profile, tools: Tools) -> None:
         self._profile = profile
@@ -111,12 +115,12 @@
 
     @property
     def profile(self) -> Profile:
-        """Where everything is."""
+        """The addresses of the platform and the entries, and the author."""
         return self._profile
 
     @asynccontextmanager
     async def open_store(self) -> AsyncIterator[Result[ConfigStore, InvalidInput]]:
-        """Connect to the platform's configuration."""
+        """Open the configuration store on the platform."""
         async with self.open_objects() as opened:
             yield opened.map(
                 lambda platform: ConfigStore(
@@ -131,11 +135,11 @@
     async def open_objects(
         self, store: Endpoint | None = None
     ) -> AsyncIterator[Result[Platform, InvalidInput]]:
-        """Connect to the platform's objects.
+        """Open the object API of the platform.
 
         Args:
-            store: The object store of a deployment on the users' platform, in place of the
-                profile's platform.
+            store: Object store of a deployment on the users' platform, used instead of the
+                platform of the profile; None takes the profile's.
         """
         if store is not None:
             async with self._tools.open_store(store) as objects:
@@ -150,7 +154,7 @@
     async def listed_instances(
         self,
     ) -> Result[Sequence[ListedInstance], PlatformUnavailable]:
-        """Read the platform's list of instances, which lags."""
+        """Read the platform's list of instances, which lags behind their actual state."""
         async with self._tools.open_platform(self._profile.platform) as platform:
             return await platform.instances()
 
@@ -174,7 +178,7 @@
     async def ask_all(
         self, entries: Sequence[EntryAddress], target: str
     ) -> dict[EntryAddress, Result[Any, EntryUnreachable]]:
-        """GET a JSON document from several entries at the same time."""
+        """GET a JSON document from several entries concurrently."""
         answers: dict[EntryAddress, Result[Any, EntryUnreachable]] = {}
 
         async def ask_one(entry: EntryAddress) -> None:
--- a/src/wagtailpoint/cli/status.py
+++ b/src/wagtailpoint/cli/status.py
@@ -1,4 +1,4 @@
-"""The answer of ``GET /v1/status``, as far as the tool understands it."""
+"""Parses the parts of the answer to ``GET /v1/status`` that the tool uses."""
 
 from typing import Any, NamedTuple
 
@@ -8,16 +8,16 @@
 
 
 class Member(NamedTuple):
-    """One instance, as it says itself or as another instance sees it.
+    """The state of one instance, as reported by itself or by another instance.
 
     Attributes:
-        entry: Where it listens for HTTP.
-        incarnation: Random at each process start.
-        region: Where it runs.
-        failure_domain: Where it runs.
-        state: For example ``live`` or ``leaving``.
-        config_version: The configuration that it enforces; None if not known.
-        load: 0 (idle) to 1, coarse and late; None if not known.
+        entry: Address and port at which it listens for HTTP.
+        incarnation: Random identifier that is drawn at each process start.
+        region: Name of its region.
+        failure_domain: Name of its failure domain.
+        state: State in the membership, for example ``live`` or ``leaving``.
+        config_version: Version of the configuration that it enforces; None if unknown.
+        load: From 0 (idle) to 1; coarse and slightly outdated; None if unknown.
     """
 
     entry: EntryAddress
@@ -30,15 +30,15 @@
 
     @property
     def must_enforce(self) -> bool:
-        """Whether a change is in force only once this instance enforces it."""
+        """Whether a change counts as in force only when this instance enforces it."""
         return self.state not in GONE_STATES
 
 
 def read_members(status: Any) -> list[Member]:
-    """All instances in a status: the one that answers first, then those it sees.
+    """Return all instances in a status: first the answering one, then the members that it knows.
 
-    What can't be understood is left out: an instance of another version of the program must not
-    stop an operator from seeing the rest.
+    Items that can't be parsed are skipped, so that an instance that runs another version of the
+    program does not hide the rest from the operator.
     """
     if not isinstance(status, dict):
         return []
--- a/src/wagtailpoint/cli/waiting.py
+++ b/src/wagtailpoint/cli/waiting.py
@@ -1,4 +1,4 @@
-"""``--wait``: until every live instance enforces a version."""
+"""Implements ``--wait``: waits until every live instance enforces a version."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -17,15 +17,15 @@
 
 
 class WaitReport(NamedTuple):
-    """How far a version has come.
+    """The instances that enforce a version and those that don't yet.
 
     Attributes:
         version: The version waited for.
-        enforcing: The instances that enforce it, or a newer one.
-        seen: All instances that anyone sees alive, leaving ones included.
-        lagging: The live instances that don't.
-        unreachable: The entries that were asked and did not answer, with the reason.
-        unseen: Instances that the platform lists as live and no entry that was asked sees alive.
+        enforcing: Live instances that enforce it or a newer one.
+        seen: Instances that an entry reports in any state but dead, including leaving ones.
+        lagging: Live instances that enforce an older version or none.
+        unreachable: Entries that did not answer, with the reason.
+        unseen: Instances that the platform lists as live and that aren't among ``seen``.
     """
 
     version: int
@@ -42,7 +42,7 @@
 
     @property
     def data(self) -> dict[str, Any]:
-        """The report as JSON."""
+        """The report as a JSON object."""
         return {
             "version": self.version,
             "in_force": self.done,
@@ -57,7 +57,7 @@
 
     @property
     def text(self) -> str:
-        """The report for people."""
+        """The report as text for people."""
         where = f"in force on {len(self.enforcing)} instances"
         lines = [f"version {self.version} is {where}"]
         if not self.done:
@@ -77,7 +77,7 @@
             lines.append(format_table(headers, rows))
         lines += [
             f"{instance.address} in {instance.failure_domain}: listed as live by the platform, "
-            "and no entry that was asked sees it"
+            "but no entry that answered reports it as alive"
             for instance in self.unseen
         ]
         lines += [f"no answer from {reason}" for reason in self.unreachable]
@@ -90,10 +90,10 @@
     """Wait until every live instance enforces a version, or until the timeout.
 
     Args:
-        session: Its profile's entries are asked; the others are learnt from their members.
-        version: The version.
-        timeout_s: Seconds.
-        progress: Is told each time that more instances enforce the version.
+        session: Provides the entries to poll, whose status reports the other instances.
+        version: The version to wait for.
+        timeout_s: Longest time to wait, in seconds.
+        progress: Called with a line of text when the number of enforcing instances changes.
     """
     report = WaitReport(version)
     reported_count = -1
@@ -115,11 +115,12 @@
 async def _find_unseen_instances(
     session: Session, report: WaitReport
 ) -> tuple[ListedInstance, ...]:
-    """The instances that are live as far as the platform knows, and that nobody speaks for.
+    """Return the instances that the platform lists as live and no entry reports as alive.
 
-    An instance that is cut off from all others is dead to them and may still serve its callers by
-    an old configuration. The platform's list lags, so one that really died is waited for until the
-    list drops it: rather a wait too long than a change reported in force where it is not.
+    An instance that is partitioned from all others is dead to them, and may still serve callers
+    with an old configuration. The platform's list lags, so an instance that did die is waited for
+    until the list drops it: waiting too long is better than reporting a change as in force
+    everywhere when it is not.
     """
     listed = await session.listed_instances()
     if isinstance(listed, Err):
@@ -130,10 +131,11 @@
 
 
 async def _poll_entries(session: Session, version: int) -> WaitReport:
-    """Ask all named entries once.
+    """Query all entries of the profile once and merge their views.
 
-    One entry's view may be wrong (cut off from a part of the fleet, it does not see what lags
-    there), so the views are united and an instance counts as live if anyone sees it live.
+    The view of a single entry may be wrong: an entry that is partitioned from a part of the fleet
+    does not see the instances that lag there. An instance therefore counts as live if any entry
+    reports it as live.
     """
     members: dict[tuple[EntryAddress, str], Member] = {}
     unreachable = []
@@ -158,7 +160,10 @@
 
 
 def _merge_views(known: Member | None, reported: Member) -> Member:
-    """Unite two views of one instance: it never goes back to an older version."""
+    """Merge two views of one instance.
+
+    The newer version wins, as an instance never returns to an older one; so does a live state.
+    """
     if known is None:
         return reported
     version = max(known.config_version or 0, reported.config_version or 0)
--- a/src/wagtailpoint/cli/workspace_commands.py
+++ b/src/wagtailpoint/cli/workspace_commands.py
@@ -1,4 +1,4 @@
-"""Commands on workspaces: create and adjust."""
+"""Commands that create and adjust workspaces."""
 
 import json
 from collections.abc import Mapping, Sequence
@@ -16,7 +16,11 @@
 from wagtailpoint.errors import InvalidInput, Mistake
 
 _SETS = click.option(
-    "--set", "sets", multiple=True, metavar="PARAMETER=VALUE", help="A parameter; may be repeated."
+    "--set",
+    "sets",
+    multiple=True,
+    metavar="PARAMETER=VALUE",
+    help="Value of a parameter; may be repeated.",
 )
 
 
@@ -27,7 +31,7 @@
 
 @workspace.command()
 @click.argument("name")
-@click.option("--template", required=True, help="The template to make it from.")
+@click.option("--template", required=True, help="Template of the workspace.")
 @_SETS
 @run_command
 @with_change_options
@@ -39,7 +43,9 @@
 
     def edit(objects: Mapping[str, Any]) -> Result[Edit, InvalidInput]:
         if key in objects:
-            expected = "a new name; change an existing one by: wagtailpoint workspace adjust"
+            expected = (
+                "a new name; change an existing workspace with `wagtailpoint workspace adjust`"
+            )
             return Err(wrong_input("NAME", name, expected))
         return _parse_sets(sets, _parameter_types(objects, template)).map(
             lambda parameters: Edit(
@@ -53,7 +59,9 @@
 @workspace.command()
 @click.argument("name")
 @_SETS
-@click.option("--unset", "unsets", multiple=True, help="Back to the default; may be repeated.")
+@click.option(
+    "--unset", "unsets", multiple=True, help="Parameter to reset to its default; may be repeated."
+)
 @run_command
 @with_change_options
 async def adjust(
@@ -64,7 +72,7 @@
     unsets: tuple[str, ...],
     options: ChangeOptions,
 ) -> Result[Report, CommandError]:
-    """Change some parameters of the workspace NAME; the others stay."""
+    """Change parameters of the workspace NAME; the others keep their values."""
     key = f"workspace/{name}"
 
     def edit(objects: Mapping[str, Any]) -> Result[Edit, InvalidInput]:
@@ -86,7 +94,10 @@
 
 
 def _parameter_types(objects: Mapping[str, Any], template: str) -> dict[str, str]:
-    """The type of each parameter; empty for an unknown template, which is refused later."""
+    """Return the type of each parameter.
+
+    It is empty for an unknown template; the check of the whole configuration refuses that.
+    """
     parameters = objects.get(f"template/{template}", {}).get("parameters", {})
     return {name: parameter["type"] for name, parameter in parameters.items()}
 
@@ -106,7 +117,10 @@
 
 
 def _parse_value(value: str) -> Any:
-    """A number or flag as JSON; anything else stays text, and is refused later with its type."""
+    """Parse a value as JSON, or keep it as text if it is none.
+
+    The check of the whole configuration refuses a value of the wrong type.
+    """
     try:
         return json.loads(value)
     except json.JSONDecodeError:
--- a/tests/common/cli.py
+++ b/tests/common/cli.py
@@ -1,4 +1,4 @@
-"""Runs the command-line tool in this process, with fakes for all that is outside."""
+"""Runs the command-line tool in the test process, with a fake platform and fake entries."""
 
 import json
 import unittest
@@ -22,7 +22,7 @@
 
 
 class CliTestCase(unittest.TestCase):
-    """A platform in memory, and entries that give scripted answers."""
+    """Provides a platform in memory and entries that give scripted answers."""
 
     def setUp(self) -> None:
         self.platform = FakePlatform()
@@ -36,7 +36,7 @@
         return Ok(answer) if answer is not None else Err(EntryUnreachable(f"{entry}: refused"))
 
     def run_cli(self, *arguments: str, code: ExitCode = ExitCode.OK) -> str:
-        """Run a command, check its exit code, and give all that it printed."""
+        """Run a command, check its exit code, and return everything that it printed."""
         tools = Tools(
             open_platform=lambda _: nullcontext(self.platform), fetch=self.fetch, settle_s=0.5
         )
--- a/tests/cover/test_cli.py
+++ b/tests/cover/test_cli.py
@@ -24,7 +24,7 @@
         self.assertEqual(self.run_json("history")["changes"][0]["author"], "asha")
         self.assertIn("nothing to change", self.run_cli("apply", OBJECTS))
 
-    def test_wrong_input_never_reaches_the_platform(self) -> None:
+    def test_wrong_input_is_not_sent_to_the_platform(self) -> None:
         with tempfile.TemporaryDirectory() as directory:
             path = Path(directory) / "wrong.json"
             path.write_text('{"workspace/x": {"template": "none"}}')
@@ -43,7 +43,7 @@
         self.assertEqual(text, "~ region/kolkata: capacity_rps: 1100 -> 9\n")
         self.assertEqual(len(self.run_json("history")["changes"]), 1)
 
-    def test_delete_refuses_what_is_referred_to(self) -> None:
+    def test_delete_refuses_referenced_objects(self) -> None:
         self.run_cli("apply", OBJECTS)
         text = self.run_cli("delete", "template/deposit-book", code=ExitCode.WRONG_INPUT)
         self.assertIn("workspace/surakkha: template", text)
@@ -107,9 +107,9 @@
         super().setUp()
         self.run_cli("apply", OBJECTS)
 
-    def start(self, *more: str, code: ExitCode = ExitCode.OK) -> str:
+    def start(self, *extra: str, code: ExitCode = ExitCode.OK) -> str:
         plan = ["--workspace", "teesta-bonds", "--service", "deposit-desk", "--to", "main"]
-        return self.run_cli("move", "start", "teesta", *plan, *more, code=code)
+        return self.run_cli("move", "start", "teesta", *plan, *extra, code=code)
 
     def objects(self) -> dict[str, Any]:
         found: dict[str, Any] = self.run_json("get")["objects"]
@@ -123,7 +123,7 @@
             self.run_cli("move", command, "teesta")
             self.assertEqual(self.objects()["move/teesta"]["state"], state)
 
-    def test_finish_settles_the_workspace_and_deletes_the_move_in_one_change(self) -> None:
+    def test_finish_assigns_the_group_and_deletes_the_move_in_one_change(self) -> None:
         self.start("--cap-rps", "50")
         done = self.run_json("move", "finish", "teesta")
         self.assertEqual(
@@ -151,8 +151,8 @@
         super().setUp()
         self.run_cli("apply", OBJECTS)
 
-    def write_by_another(self, puts: dict[str, Any], deletes: tuple[str, ...] = ()) -> None:
-        """Let another operator's change land just before the next change's head is written."""
+    def write_concurrently(self, puts: dict[str, Any], deletes: tuple[str, ...] = ()) -> None:
+        """Write another operator's change just before the head of the next change is written."""
         store = ConfigStore(platform=self.platform, clock_wall=lambda: 0.0)
 
         async def before_put(kind: str, name: str) -> None:
@@ -176,14 +176,14 @@
         return self.run_cli("workspace", "adjust", "surakkha", "--set", "max_rps=7", code=code)
 
     def test_conflict_names_the_other_change(self) -> None:
-        """One operator's change would silently undo another's.
+        """A change must not silently overwrite a concurrent change of the same object.
 
-        Symptom: a limit that was just raised is low again, and nobody lowered it. Both operators
-        read version 1 and change the same workspace; the second write wins. Cause: writing without
-        the version that was read.
+        Two operators read version 1 and change the same workspace. A write that doesn't check the
+        version that was read would overwrite the first change, for example a limit that was just
+        raised.
         """
         raised = {"template": "deposit-book", "parameters": {"max_rps": 3000}}
-        self.write_by_another({"workspace/surakkha": raised})
+        self.write_concurrently({"workspace/surakkha": raised})
         text = self.adjust(ExitCode.CONFLICT)
         self.assertIn("by bela at 1970-01-01", text)
         self.assertIn("mine first", text)
@@ -191,38 +191,39 @@
         self.assertEqual(found, raised)
 
     def test_changes_that_are_wrong_together_are_a_conflict(self) -> None:
-        """Two changes, each valid by itself, land and no instance can compile the result.
+        """Two changes that are valid separately but not together must not both be accepted.
 
-        Symptom: changes are accepted and never come into force. One operator deletes a workspace
-        while another plans its move; they touch different objects, so both land. Cause: each was
-        checked against a version without the other.
+        One operator deletes a workspace while another plans its move. They change different objects
+        and each is checked against a version without the other. If both were written, no instance
+        could compile the result, so it would be accepted and never come into force.
         """
-        self.write_by_another({}, ("workspace/teesta-bonds",))
+        self.write_concurrently({}, ("workspace/teesta-bonds",))
         plan = ["--workspace", "teesta-bonds", "--service", "deposit-desk", "--to", "main"]
         arguments = ["move", "start", "teesta", *plan, "--cap-rps", "5"]
         text = self.run_cli(*arguments, code=ExitCode.CONFLICT)
         self.assertIn("move/teesta: workspace", text)
         self.assertEqual(self.run_json("history")["changes"][0]["author"], "bela")
 
-    def test_lost_answer_is_settled_by_reading_back(self) -> None:
-        """An operator is told "failed" of a change that is in force.
+    def test_lost_answer_is_resolved_by_reading_back(self) -> None:
+        """A lost answer must not be reported as a failed change.
 
-        Symptom: a change is made twice, or undone by a repeat. The write takes effect and its
-        answer is lost. Cause: a lost answer taken for a failure.
+        The write takes effect and its answer is lost. An operator who is told "failed" would repeat
+        the change, which makes it twice or undoes it.
         """
         self.platform.writes_of = "config-head"
         self.platform.lose_answers = 1
         self.adjust(ExitCode.OK)
         self.assertEqual(len(self.run_json("history")["changes"]), 2)
 
-    def test_unknown_outcome_is_said_to_be_unknown(self) -> None:
-        """A script takes a change for refused that comes into force a moment later.
+    def test_unknown_outcome_is_reported_as_unknown(self) -> None:
+        """A change whose outcome can't be determined must not be reported as failed.
 
-        Symptom: a change that "failed" is found in force. The platform takes the write and goes
-        down before it answers, and stays down. Cause: to say "failed" where nobody can know.
+        The platform applies the write, goes down before it answers, and stays down. A script that
+        is told "failed" would treat the change as refused, although it is written and comes into
+        force.
         """
 
-        class GoesDown(FakePlatform):
+        class PlatformDownAfterHead(FakePlatform):
             async def put(self, *, kind: str, name: str, value: Any, if_version: int) -> Any:
                 outcome = await super().put(
                     kind=kind, name=name, value=value, if_version=if_version
@@ -230,7 +231,7 @@
                 self.set_down(kind == "config-head" and if_version != 0)
                 return outcome
 
-        self.platform = GoesDown()
+        self.platform = PlatformDownAfterHead()
         self.run_cli("apply", OBJECTS)
         self.platform.writes_of = "config-head"
         self.platform.lose_answers = 1
--- a/tests/cover/test_cli_entries.py
+++ b/tests/cover/test_cli_entries.py
@@ -1,4 +1,4 @@
-"""The commands that ask the entries, and ``--wait``, against scripted entries."""
+"""The commands that query entries, and ``--wait``, against scripted entries."""
 
 from typing import Any
 
@@ -7,12 +7,12 @@
 from wagtailpoint.ports.platform import ListedInstance
 
 
-def member(last: int, version: int | None, state: str = "live") -> dict[str, Any]:
-    """One line of a status."""
+def member(host_number: int, version: int | None, state: str = "live") -> dict[str, Any]:
+    """Return one member of a status, at the address 127.0.0.``host_number``."""
     return {
-        "address": f"127.0.0.{last}",
+        "address": f"127.0.0.{host_number}",
         "port": 8080,
-        "incarnation": f"i{last}",
+        "incarnation": f"i{host_number}",
         "region": "kolkata",
         "failure_domain": "salt-lake",
         "state": state,
@@ -23,17 +23,20 @@
 class WaitTest(CliTestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.rounds = 0
+        self.query_count = 0
 
     def status(self) -> Any:
-        """Three instances, of which one more enforces version 1 at each question."""
-        self.rounds += 1
-        members = [member(last, 1 if self.rounds > last else 0) for last in (1, 2, 3)]
+        """Three instances, of which one more enforces version 1 at each query."""
+        self.query_count += 1
+        members = [
+            member(host_number, 1 if self.query_count > host_number else 0)
+            for host_number in (1, 2, 3)
+        ]
         return {"instance": member(1, None), "config_version": 1, "members": members}
 
-    def apply_and_wait(self, *more: str, code: ExitCode) -> str:
+    def apply_and_wait(self, *extra: str, code: ExitCode) -> str:
         entry = ["--entry", "127.0.0.1:8080"]
-        return self.run_cli("apply", OBJECTS, "--wait", *entry, *more, code=code)
+        return self.run_cli("apply", OBJECTS, "--wait", *entry, *extra, code=code)
 
     def test_waits_until_every_instance_enforces_the_version(self) -> None:
         self.answers["127.0.0.1", "/v1/status"] = self.status
@@ -41,11 +44,11 @@
         self.assertIn("in force on 2 of 3 instances", text)
         self.assertIn("version 1 is in force on 3 instances", text)
 
-    def test_lists_those_that_lag(self) -> None:
-        """A change is reported to be in force while one instance enforces the old version.
+    def test_lists_lagging_instances(self) -> None:
+        """A change must not be reported as in force while an instance enforces an older version.
 
-        Symptom: callers of one instance still meet the old limits. The instance is cut off from
-        the platform and its peers. Cause: taking the write for the effect.
+        A successful write doesn't show that the change is in force: an instance that is cut off
+        from the platform and its peers still applies the old limits to its callers.
         """
         members = [member(2, 1), member(3, 0), member(4, 0, state="leaving")]
         status = {"instance": member(1, None), "config_version": 1, "members": members}
@@ -54,16 +57,20 @@
         self.assertIn("127.0.0.3:8080", text)
         self.assertNotIn("127.0.0.4:8080", text)
 
-    def test_lists_those_that_nobody_sees(self) -> None:
-        """A change is reported to be in force while a part of the fleet serves the old one.
+    def test_lists_instances_that_no_entry_sees(self) -> None:
+        """A change must not be reported as in force while a partitioned region lacks it.
 
-        Symptom: callers in one region meet the old limits for as long as its link is cut. Its
-        instances are dead to all that the tool asks, and serve on. Cause: asking only one side.
+        The instances of a region whose link is cut keep serving with the old limits, but every
+        entry that the tool can query reports them as dead. They must be found by the platform's
+        list of instances.
         """
         members = [member(1, 1), member(2, 1), member(3, 0, state="dead")]
         status = {"instance": member(1, None), "config_version": 1, "members": members}
         self.answers["127.0.0.1", "/v1/status"] = status
-        listed = [ListedInstance(f"127.0.0.{last}", "salt-lake", "live") for last in (1, 2, 3)]
+        listed = [
+            ListedInstance(f"127.0.0.{host_number}", "salt-lake", "live")
+            for host_number in (1, 2, 3)
+        ]
         self.platform.listed = listed
         text = self.apply_and_wait("--wait-timeout", "0.5", code=ExitCode.WAIT_TIMED_OUT)
         self.assertIn("127.0.0.3 in salt-lake: listed as live", text)
@@ -113,9 +120,14 @@
         self.run_cli("status", "--entry", "127.0.0.9:8080", code=ExitCode.FAILED)
 
     def test_timeline_merges_all_instances(self) -> None:
-        for last, stamp in ((1, "02"), (2, "01")):
-            event = {"hlc": stamp, "instance": f"i{last}", "event": "move-step", "name": "teesta"}
-            self.answers[f"127.0.0.{last}", "/v1/timeline"] = {"events": [event]}
+        for host_number, stamp in ((1, "02"), (2, "01")):
+            event = {
+                "hlc": stamp,
+                "instance": f"i{host_number}",
+                "event": "move-step",
+                "name": "teesta",
+            }
+            self.answers[f"127.0.0.{host_number}", "/v1/timeline"] = {"events": [event]}
         text = self.run_cli("timeline", "--since", "00", "--where", "name=teesta", *self.ENTRY)
         lines = text.splitlines()
         self.assertEqual(lines[0], "01 i2 move-step name=teesta")
--- a/tests/cover/test_cli_fetch.py
+++ b/tests/cover/test_cli_fetch.py
@@ -17,7 +17,7 @@
 
 class FetchJsonTest(unittest.TestCase):
     def fetch(self, answer: bytes) -> Result[Any, EntryUnreachable]:
-        """Fetch from a server that gives one answer and closes."""
+        """Fetch from a server that sends one answer and closes the connection."""
         address = fresh_address()
 
         async def serve(stream: trio.SocketStream) -> None:
@@ -44,6 +44,6 @@
         self.assertIn("answered 503 empty", self.fetch(empty).unwrap_err().reason)
         self.assertIn("RemoteProtocolError", self.fetch(b"").unwrap_err().reason)
 
-    def test_nobody_listens(self) -> None:
+    def test_no_server_listens(self) -> None:
         entry = EntryAddress("127.0.0.1", 1)
         self.assertIn("127.0.0.1:1", trio.run(fetch_json, entry, "/").unwrap_err().reason)
--- a/tests/cover/test_cli_quarantine.py
+++ b/tests/cover/test_cli_quarantine.py
@@ -1,4 +1,4 @@
-"""The commands for requests that crash backend servers."""
+"""The commands that list and lift quarantined requests."""
 
 from contextlib import nullcontext
 
@@ -25,7 +25,7 @@
     def test_nothing_is_quarantined(self) -> None:
         self.assertIn("no request is quarantined", self.run_cli("quarantine", "list"))
 
-    def test_list_shows_what_was_asked_and_what_it_crashed(self) -> None:
+    def test_list_shows_the_request_and_the_servers_that_it_crashed(self) -> None:
         self.quarantine()
         text = self.run_cli("quarantine", "list")
         for shown in (DIGEST, "GET", "h.example", "/r/7/1", "i-1,i-2,i-3"):
@@ -33,21 +33,21 @@
         (found,) = self.run_json("quarantine", "list")["quarantined"]
         self.assertEqual(found["crashed"], ["i-1", "i-2", "i-3"])
 
-    def test_lift_removes_it(self) -> None:
+    def test_lift_removes_the_request(self) -> None:
         self.quarantine()
         self.run_cli("quarantine", "lift", DIGEST)
         self.assertIn("no request is quarantined", self.run_cli("quarantine", "list"))
 
-    def test_lift_of_an_unknown_one_changes_nothing(self) -> None:
+    def test_lift_of_an_unknown_digest_changes_nothing(self) -> None:
         self.quarantine()
         self.run_cli("quarantine", "lift", DIGEST, "4711", code=ExitCode.WRONG_INPUT)
         self.assertIn(DIGEST, self.run_cli("quarantine", "list"))
 
-    def test_platform_that_is_away(self) -> None:
+    def test_platform_unavailable(self) -> None:
         self.platform.down = True
         self.run_cli("quarantine", "list", code=ExitCode.PLATFORM_UNAVAILABLE)
 
-    def test_store_of_the_users_platform_is_named_by_its_address(self) -> None:
+    def test_store_option_selects_the_object_store(self) -> None:
         self.quarantine()
         tools = Tools(open_store=lambda _: nullcontext(self.platform))
         arguments = ["quarantine", "list", "--store", "127.0.0.1:7001"]
--- a/tests/integration/test_cli_process.py
+++ b/tests/integration/test_cli_process.py
@@ -1,4 +1,4 @@
-"""The command-line tool as a process, against a platform that runs as a process."""
+"""The command-line tool as a process, against a platform stand-in that runs as a process."""
 
 import json
 import unittest
@@ -18,10 +18,12 @@
         self.platform = self.enterContext(PlatformProcess())
 
     def run_cli(self, *arguments: str, code: ExitCode = ExitCode.OK) -> Any:
-        """Run a command, check its exit code, and give its JSON."""
+        """Run a command, check its exit code, and return its JSON output."""
         address, port = self.platform.listens_on
-        more = ["--json", "--platform", f"{address}:{port}"]
-        with ModuleProcess(module="wagtailpoint.cli", arguments=[*arguments, *more]) as process:
+        platform_options = ["--json", "--platform", f"{address}:{port}"]
+        with ModuleProcess(
+            module="wagtailpoint.cli", arguments=[*arguments, *platform_options]
+        ) as process:
             self.assertEqual(process.wait(), code, process.log)
             return json.loads(process.log)
 
@@ -33,10 +35,10 @@
         self.assertEqual(found["workspace/heather-isles"]["parameters"]["max_rps"], 9)
 
     def test_outage_and_lost_answers(self) -> None:
-        """An operator must be able to tell "nothing changed" from "changed, answer lost".
+        """The tool must distinguish "nothing was changed" from "changed, answer lost".
 
-        Symptom: a script repeats a change that had landed. The platform takes the writes and
-        closes each connection instead of answering. Cause: taking every error for a failure.
+        The platform applies the writes and closes each connection instead of answering. If every
+        error were reported as a failure, a script would repeat a change that was written.
         """
         self.platform.set_mode(lose_answers=3)
         self.assertEqual(self.run_cli("apply", OBJECTS)["version"], 1)
@@ -48,17 +50,19 @@
 
 class CliWithEntriesTest(unittest.TestCase):
     def test_change_followed_over_all_instances_and_through_an_outage(self) -> None:
-        """During an outage of the platform an operator must still see the system.
+        """Status and lookup must work during an outage of the platform.
 
-        Symptom: the tool says nothing but "unavailable" when it is needed most. The platform dies
-        while instances serve on. Cause: asking the platform for what the instances know.
+        The platform dies while the instances keep serving. If the tool read from the platform what
+        the instances know, it would only report "platform unavailable" in an outage.
         """
         running = self.enterContext(RunningDeployment(name="heather-isles", entries=2))
         running.apply_objects()
         adjust = ["workspace", "adjust", "heather-isles", "--set", "max_rps=77", "--json"]
         changed = json.loads(self.cli(running, *adjust, "--wait"))
         instances = {entry.settings.address for entry in running.entries}
-        waited = {place.partition(":")[0] for place in changed["wait"]["enforcing"]}
+        waited = {
+            enforcing_entry.partition(":")[0] for enforcing_entry in changed["wait"]["enforcing"]
+        }
         self.assertEqual((changed["version"], waited), (2, instances))
         where = ["--where", "event=config-in-force", "--where", "version=2", "--json"]
         events = json.loads(self.cli(running, "timeline", *where))["events"]
@@ -71,7 +75,7 @@
         self.assertEqual({entry["address"] for entry in entries}, instances)
 
     def cli(self, running: RunningDeployment, *arguments: str, code: ExitCode = ExitCode.OK) -> str:
-        """Run a command, check its exit code, and give what it printed."""
+        """Run a command, check its exit code, and return its standard output."""
         done = running.cli(*arguments)
         self.assertEqual(done.returncode, code, done.stdout + done.stderr)
         return done.stdout
