--- a/build.sh
+++ b/build.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Every task of the project. `./build.sh help` lists them.
+# Runs the tasks of the project; `./build.sh help` lists them.
 set -euo pipefail
 cd "$(dirname "$0")"
 export PYTHONPATH="$PWD/src:$PWD${PYTHONPATH:+:$PYTHONPATH}"
 export PYTHONDONTWRITEBYTECODE=1
 PYTHON_SOURCES="src tests bench examples"
 
-# The virtual environment is made again whenever the pinned requirements change.
+# Creates the virtual environment, or recreates it if the pinned requirements have changed.
 task_setup() {
     local wanted
     wanted=$(cat requirements/runtime.txt requirements/tools.txt | sha256sum | cut -d' ' -f1)
@@ -44,7 +44,7 @@
 
 task_demo() { .venv/bin/python -m examples.demo; }
 
-# Resolve the newest versions of what requirements/*.in name, and write the pins.
+# Resolves the newest versions of the packages in requirements/*.in and writes the pinned files.
 task_pin() {
     local scratch
     scratch=$(mktemp -d)
@@ -59,12 +59,12 @@
 task_help() {
     cat <<'HELP'
 ./build.sh TASK
-  setup         make .venv from the pinned requirements (every other task does this first)
-  test          formatter, linter, mypy, all tests, the short bench with its bounds
-  demo          the whole path as separate processes, with small stand-ins
+  setup         create .venv from the pinned requirements (most other tasks do this first)
+  test          formatter, linter, mypy, all tests, and the short bench with its bounds
+  demo          the whole request path as separate processes, with small stand-ins
   bench         the full bench; tables and plots go to bench/results/
   soak          real instances under faults drawn from a seed, for example: soak --seed 7 --for 300
-  cover | nocover | integration [nose2 arguments]   one kind of test
+  cover | nocover | integration [nose2 arguments]   the tests in one folder
   lint | format | pin
 HELP
 }
--- a/examples/__init__.py
+++ b/examples/__init__.py
@@ -1,1 +1,1 @@
-"""examples."""
+"""Example deployments and a demo."""
--- a/examples/deployment.py
+++ b/examples/deployment.py
@@ -1,7 +1,7 @@
 """Loads the example deployments: objects for the platform and settings for each instance.
 
-All addresses of a deployment lie in one loopback network, ``127.a.b.0/24``. It can be moved to
-another one, so that several deployments run on one machine at the same time.
+All addresses of a deployment lie in one loopback network, ``127.a.b.0/24``. The network can be
+replaced, so that several deployments can run on one machine at the same time.
 """
 
 import json
@@ -17,12 +17,12 @@
 
 
 class Deployment(NamedTuple):
-    """One deployment.
+    """The objects and settings of one deployment.
 
     Attributes:
-        name: Its directory under ``examples``.
-        objects: The JSON value of each configuration object, by ``kind/name``.
-        settings_files: The JSON of each instance's settings file, by the instance's name.
+        name: Name of its directory in ``examples``.
+        objects: JSON value of each configuration object, by ``kind/name``.
+        settings_files: JSON value of each instance's settings file, by the instance's name.
     """
 
     name: str
@@ -31,7 +31,7 @@
 
     @property
     def settings(self) -> tuple[Settings, ...]:
-        """The checked settings of each instance, in the order of their names.
+        """The checked settings of all instances, in the order of the instances' names.
 
         Raises:
             result.UnwrapError: A settings file is invalid.
@@ -44,24 +44,24 @@
         first: str = next(iter(self.settings_files.values()))["address"]
         return first.rpartition(".")[0]
 
-    def rebased(self, prefix: str) -> "Deployment":
-        """The same deployment with all its addresses moved to ``prefix`` (``127.a.b``)."""
+    def with_network(self, prefix: str) -> "Deployment":
+        """Return a copy with all addresses in the loopback network ``prefix`` (``127.a.b``)."""
         before, after = f"{self.prefix}.", f"{prefix}."
         return self._replace(
-            objects=_rebase(self.objects, before, after),
-            settings_files=_rebase(self.settings_files, before, after),
+            objects=_replace_prefix(self.objects, before, after),
+            settings_files=_replace_prefix(self.settings_files, before, after),
         )
 
 
 def load_deployment(name: str, *, prefix: str | None = None) -> Deployment:
-    """Load a deployment.
+    """Load an example deployment.
 
     Args:
         name: One of ``DEPLOYMENTS``.
-        prefix: A loopback network ``127.a.b`` to move it to; None keeps the files' own.
+        prefix: Loopback network ``127.a.b`` to use instead of the files' network; None keeps that.
 
     Raises:
-        result.UnwrapError: The files are no valid JSON objects.
+        result.UnwrapError: The object files can't be read or are invalid.
     """
     directory = _DIRECTORY / name
     settings_files = {
@@ -70,14 +70,14 @@
     }
     objects = read_objects([directory / "objects"]).unwrap()
     deployment = Deployment(name, objects, settings_files)
-    return deployment.rebased(prefix) if prefix else deployment
+    return deployment.with_network(prefix) if prefix else deployment
 
 
-def _rebase(value: Any, before: str, after: str) -> Any:
+def _replace_prefix(value: Any, before: str, after: str) -> Any:
     if isinstance(value, str) and value.startswith(before):
         return after + value.removeprefix(before)
     if isinstance(value, dict):
-        return {key: _rebase(item, before, after) for key, item in value.items()}
+        return {key: _replace_prefix(item, before, after) for key, item in value.items()}
     if isinstance(value, list):
-        return [_rebase(item, before, after) for item in value]
+        return [_replace_prefix(item, before, after) for item in value]
     return value
--- a/tests/cover/test_examples.py
+++ b/tests/cover/test_examples.py
@@ -1,4 +1,4 @@
-"""The example deployments are valid and have the sizes that they claim."""
+"""The example deployments are valid and have the expected sizes."""
 
 import unittest
 from collections import Counter
@@ -33,17 +33,17 @@
                     region = config.regions[settings.region]
                     self.assertIn(settings.failure_domain, region.failure_domains)
 
-    def test_acquired_firms_have_backend_servers_of_their_own(self) -> None:
+    def test_acquired_workspaces_have_separate_backend_servers(self) -> None:
         objects = load_deployment("surakkha").objects
         config = compile_config(version=1, objects=objects).unwrap()
         groups = [workspace.groups["deposit-desk"] for workspace in config.workspaces.values()]
         self.assertEqual(Counter(groups), {"main": 1, "acquired": 3})
 
-    def test_rebase_moves_every_address(self) -> None:
+    def test_with_network_replaces_every_address(self) -> None:
         for name in DEPLOYMENTS:
             with self.subTest(name=name):
                 before = load_deployment(name)
                 after = load_deployment(name, prefix="127.99.7")
                 self.assertEqual(after.prefix, "127.99.7")
                 self.assertNotIn(before.prefix + ".", str(after))
-                self.assertEqual(after.rebased(before.prefix), before)
+                self.assertEqual(after.with_network(before.prefix), before)
