--- a/src/wagtailpoint/config/templates.py
+++ b/src/wagtailpoint/config/templates.py
@@ -1,4 +1,4 @@
-"""Templates: a workspace's body with parameters to fill in."""
+"""Templates: workspace bodies with parameters that are substituted."""
 
 import re
 from collections.abc import Iterator, Mapping
@@ -7,11 +7,11 @@
 from wagtailpoint.checking import (
     REQUIRED,
     ObjectReader,
+    describe_choices,
     describe_range,
     did_you_mean,
     in_range,
     is_number,
-    one_of,
     show,
 )
 from wagtailpoint.errors import Mistake
@@ -24,13 +24,13 @@
     """One parameter of a template.
 
     Attributes:
-        name: As in ``${name}``.
+        name: The name in references such as ``${name}``.
         type: One of ``PARAMETER_TYPES``.
-        default: Used when the workspace does not give it; ``REQUIRED`` if it must.
-        minimum: The least number, or None.
-        maximum: The greatest number, or None.
+        default: The value if the workspace sets none; ``REQUIRED`` if it has to set one.
+        minimum: The smallest number allowed, or None.
+        maximum: The largest number allowed, or None.
         choices: The values allowed, or None for any.
-        description: For operators.
+        description: A text for operators.
     """
 
     name: str
@@ -43,15 +43,15 @@
 
     @property
     def expected(self) -> str:
-        """What a value must be, for messages."""
+        """A description of valid values for error messages."""
         if self.choices is not None:
-            return one_of(show(choice) for choice in self.choices)
+            return describe_choices(show(choice) for choice in self.choices)
         if self.type in ("integer", "number"):
             return "parameter" + describe_range(self.type, None, self.minimum, self.maximum)
         return f"parameter ({self.type})"
 
     def accepts(self, value: Any) -> bool:
-        """Whether a value has the type, range and choice."""
+        """Return whether a value has the right type, is in range and is one of the choices."""
         if not _has_type(value, self.type):
             return False
         if self.choices is not None and value not in self.choices:
@@ -62,12 +62,12 @@
 
 
 class Template(NamedTuple):
-    """A template.
+    """A workspace body with references to parameters.
 
     Attributes:
         name: Its name.
-        parameters: By name.
-        body: The workspace's JSON, with references such as ``${name}`` in it.
+        parameters: Its parameters, by name.
+        body: The workspace's JSON with references such as ``${name}``.
     """
 
     name: str
@@ -76,39 +76,41 @@
 
 
 def read_template(name: str, reader: ObjectReader, mistakes: list[Mistake]) -> Template:
-    """Read a template object and check its references to parameters."""
+    """Read a ``template`` object and check its references to parameters."""
     parameters = {
         key: _read_parameter(key, item)
         for key, item in reader.named_objects("parameters", default={}).items()
     }
     body = reader.mapping("workspace")
     reader.finish()
-    for place, reference in _references(body, reader.path_of("workspace")):
+    for path_of_value, reference in _find_references(body, reader.path_of("workspace")):
         if reference not in parameters:
-            expected = one_of(parameters) + did_you_mean(reference, parameters)
+            expected = describe_choices(parameters) + did_you_mean(reference, parameters)
             given = show("${" + reference + "}")
-            mistakes.append(Mistake(place, given, f"a parameter of this template, {expected}"))
+            mistakes.append(
+                Mistake(path_of_value, given, f"a parameter of this template, {expected}")
+            )
     return Template(name, parameters, body)
 
 
-def fill_in(
+def expand_template(
     template: Template, given: Mapping[str, Any], *, path: str, mistakes: list[Mistake]
 ) -> dict[str, Any]:
-    """Fill in a template's parameters.
+    """Substitute a workspace's parameters in its template.
 
     Args:
         template: The template.
         given: The workspace's parameters.
-        path: The place of the workspace's parameters.
-        mistakes: Where mistakes are collected.
+        path: The path of the workspace's parameters in error messages.
+        mistakes: The list to which mistakes are appended.
 
     Returns:
-        The workspace's body; of use only if no mistake was recorded.
+        The workspace's body; valid only if no mistake was recorded.
     """
     for name, value in given.items():
         if name not in template.parameters:
             known = template.parameters
-            expected = f"a parameter of template/{template.name}, {one_of(known)}"
+            expected = f"a parameter of template/{template.name}, {describe_choices(known)}"
             mistake = Mistake(f"{path}.{name}", show(value), expected + did_you_mean(name, known))
             mistakes.append(mistake)
     values = {}
@@ -129,8 +131,8 @@
         name=name,
         type=reader.text("type", choices=PARAMETER_TYPES),
         default=REQUIRED,
-        minimum=reader.optional_number("minimum", unit="least value"),
-        maximum=reader.optional_number("maximum", unit="greatest value"),
+        minimum=reader.optional_number("minimum", unit="smallest value"),
+        maximum=reader.optional_number("maximum", unit="largest value"),
         choices=tuple(choices) or None,
         description=reader.text("description", default="-"),
     )
@@ -153,17 +155,17 @@
     return is_number(value)
 
 
-def _references(value: Any, path: str) -> Iterator[tuple[str, str]]:
-    """Every reference to a parameter, with its place."""
+def _find_references(value: Any, path: str) -> Iterator[tuple[str, str]]:
+    """Yield the path and the parameter name of every reference."""
     if isinstance(value, str):
         for reference in _REFERENCE.findall(value):
             yield path, reference
     elif isinstance(value, dict):
         for key, item in value.items():
-            yield from _references(item, f"{path}.{key}")
+            yield from _find_references(item, f"{path}.{key}")
     elif isinstance(value, list):
         for index, item in enumerate(value):
-            yield from _references(item, f"{path}[{index}]")
+            yield from _find_references(item, f"{path}[{index}]")
 
 
 def _substitute(value: Any, values: Mapping[str, Any]) -> Any:
--- a/src/wagtailpoint/proxy/backend_pool.py
+++ b/src/wagtailpoint/proxy/backend_pool.py
@@ -1,4 +1,4 @@
-"""The connections to all backend servers: which is used again, which is closed."""
+"""The pool of connections to backend servers."""
 
 from collections import deque
 from typing import Final, Literal
@@ -19,66 +19,70 @@
 from wagtailpoint.verdict import Verdict
 
 SparePurpose = Literal["next-request", "after-start", "distance", "after-failure", "crash-check"]
-"""What a connection is opened for that no request waits for."""
-
-KEPT_CONNECTIONS: Final = 8
-"""Idle connections kept for each backend server."""
-
-CONNECT_SLACK_S: Final = 0.2
-CONNECT_ROUND_TRIPS: Final = 2.0
-"""How long a connection may take to open: so many round trips and the slack in seconds, for a
-machine that gets no processor time for a tenth of one. One without power never answers at all,
-and a lost packet is sent again after a second, too late for most requests: better another one."""
-
-SPARE_ROUND_TRIP_S: Final = 0.01
-"""From this round trip on a spare connection is opened for each one in use. A request that has to
-open its own waits a round trip more, which at 110 ms is a third to half of the time in which an
-answer has its full value; a connection that is never used costs a hundredth of an answer."""
-
-REUSE_GAIN: Final = 0.02
-LEAST_REUSED: Final = 0.4
-"""The weight of one request in the part of requests that find an idle connection, and the least
-part with which spare ones are opened. An instance that sends 8 requests a second to 400 backend
-servers meets each of them once a minute, and closes its spare connections unused."""
+"""Why a connection is opened that no request is waiting for."""
+
+MAX_IDLE_CONNECTIONS: Final = 8
+"""Maximum number of idle connections for each start of a backend server."""
+
+CONNECT_TIMEOUT_SLACK_S: Final = 0.2
+CONNECT_TIMEOUT_ROUND_TRIPS: Final = 2.0
+"""The timeout for opening a connection is this number of round trips plus the slack, which allows
+for a host that gets no processor time for 0.1 s. A host without power never answers, and a lost
+packet is retransmitted only after 1 s, too late for most requests: another backend server is tried
+instead."""
+
+MIN_SPARE_ROUND_TRIP_S: Final = 0.01
+"""Spare connections are opened for backend servers with at least this round trip time. A request
+that opens its own connection waits for one more round trip; at 110 ms that is a third to half of
+the time in which an answer has its full value. An unused connection costs only as much as a
+hundredth of an answer is worth."""
+
+REUSE_WEIGHT: Final = 0.02
+MIN_REUSE_FRACTION: Final = 0.4
+"""The weight of one request in the average fraction of requests that find an idle connection, and
+the minimum fraction at which spare connections are opened. An instance that sends 8 requests a
+second to 400 backend servers reaches each of them about once a minute, so that its spare
+connections would be closed unused."""
 
 SWEEP_INTERVAL_S: Final = 2.0
-"""How often connections that rested too long are closed; the backend server closes them anyway, but
-its end would not be noticed, and the descriptor kept, until the next request to it."""
+"""Interval at which expired connections are closed. The backend server closes them too, but without
+this the instance would keep their descriptors until its next request to that backend server."""
 
 
 class BackendPool:
-    """Idle connections by the start of the backend server, and new ones.
+    """Reuses idle connections to backend servers and opens new ones.
 
-    Kept by start and not by address: an address is given to another backend server when its first
-    one has ended, and a connection must not outlive that.
+    Idle connections are stored by the start of the backend server instead of its address: after a
+    backend server has ended, its address may be assigned to another one, and a connection must not
+    be used beyond that.
     """
 
     def __init__(self, *, names: HeaderNames, distances: Distances, metrics: Metrics) -> None:
-        """Make it empty.
+        """Initialise an empty pool.
 
         Args:
             names: The deployment's header names.
-            distances: Says how long a connection may take to open, and learns how long it took.
-            metrics: Counts the connections by what they were opened for.
+            distances: Gives the round trip times for connect timeouts, and receives measured ones.
+            metrics: Counts opened connections by purpose.
         """
         self._names = names
         self._distances = distances
         self._metrics = metrics
         self._idle: dict[ServerStart, deque[BackendConnection]] = {}
         self._opening_spare: set[ServerStart] = set()
-        self._reused_part = 1.0
+        self._reuse_fraction = 1.0
         self._nursery: trio.Nursery | None = None
 
     async def run(self) -> None:
-        """Open spare connections and close those that rested too long, until cancelled."""
+        """Open spare connections and close expired ones until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             while True:
                 await trio.sleep(SWEEP_INTERVAL_S)
-                await self._sweep()
+                await self._close_expired()
 
     async def acquire(self, entry: ServerEntry) -> BackendConnection:
-        """Take an idle connection, or open one. No byte of a request leaves here.
+        """Take an idle connection or open one, without sending anything on it.
 
         Raises:
             ExchangeFailed: No connection could be opened.
@@ -86,54 +90,59 @@
         idle = self._idle.get(entry.start)
         while idle:
             connection = idle.pop()
-            if not connection.rested_too_long():
-                self._note_acquired(entry, reused=True)
+            if not connection.has_expired():
+                self._record_acquired(entry, reused=True)
                 return connection
             await connection.close()
         connection = await self._open(entry, "request")
-        self._note_acquired(entry, reused=False)
+        self._record_acquired(entry, reused=False)
         return connection
 
     async def release(self, start: ServerStart, connection: BackendConnection) -> None:
-        """Give a connection back: it is kept if it is clean, otherwise closed."""
-        if not connection.reusable():
+        """Return a connection to the pool, or close it if it is not reusable."""
+        if not connection.is_reusable():
             await connection.close()
             return
-        await self._keep(start, connection)
+        await self._add_idle(start, connection)
 
     async def close(self, start: ServerStart) -> None:
-        """Close the idle connections to a backend server that is gone."""
+        """Close the idle connections to a backend server that has ended."""
         for connection in self._idle.pop(start, ()):
             await connection.close()
 
     def has_spare(self, entry: ServerEntry) -> bool:
-        """Whether a usable connection is idle, or is being opened for the next request."""
+        """Whether a usable connection is idle or a spare one is being opened."""
         if entry.start in self._opening_spare:
             return True
-        return any(not each.rested_too_long() for each in self._idle.get(entry.start, ()))
+        return any(not candidate.has_expired() for candidate in self._idle.get(entry.start, ()))
 
     async def open_spare(self, entry: ServerEntry, purpose: SparePurpose) -> FailureReason | None:
-        """Open a connection for the next request; return why that failed, None if it did not."""
+        """Open a spare connection; return the reason of a failure, or None on success."""
         self._opening_spare.add(entry.start)
         try:
             connection = await self._open(entry, purpose)
         except ExchangeFailed as error:
-            # Nobody waits for it: whoever needs a connection opens one, and learns what is wrong.
+            # No request waits for this connection; one that needs it opens its own and handles the
+            # failure.
             log_event("spare-not-opened", server=entry.server_id, reason=error)
             return error.reason
         finally:
             self._opening_spare.discard(entry.start)
-        await self._keep(entry.start, connection)
+        await self._add_idle(entry.start, connection)
         return None
 
-    def _note_acquired(self, entry: ServerEntry, *, reused: bool) -> None:
-        """Have a spare connection opened where it takes long and none is idle, if they are used."""
-        self._reused_part += REUSE_GAIN * (reused - self._reused_part)
+    def _record_acquired(self, entry: ServerEntry, *, reused: bool) -> None:
+        """Record an acquired connection and open a spare one if it is likely to be useful.
+
+        That requires a long round trip, no idle connection to this backend server, and a sufficient
+        fraction of recent requests that found an idle connection.
+        """
+        self._reuse_fraction += REUSE_WEIGHT * (reused - self._reuse_fraction)
         if self._nursery is None or self._idle.get(entry.start):
             return
-        if entry.start in self._opening_spare or self._reused_part < LEAST_REUSED:
+        if entry.start in self._opening_spare or self._reuse_fraction < MIN_REUSE_FRACTION:
             return
-        if self._distances.round_trip_s(entry.failure_domain) >= SPARE_ROUND_TRIP_S:
+        if self._distances.round_trip_s(entry.failure_domain) >= MIN_SPARE_ROUND_TRIP_S:
             self._opening_spare.add(entry.start)
             self._nursery.start_soon(self.open_spare, entry, "next-request")
 
@@ -142,7 +151,9 @@
         round_trip_s = self._distances.round_trip_s(entry.failure_domain)
         began = trio.current_time()
         try:
-            with trio.move_on_after(CONNECT_SLACK_S + CONNECT_ROUND_TRIPS * round_trip_s):
+            with trio.move_on_after(
+                CONNECT_TIMEOUT_SLACK_S + CONNECT_TIMEOUT_ROUND_TRIPS * round_trip_s
+            ):
                 connection = await open_connection(entry.address, self._names)
                 took_s = trio.current_time() - began
                 self._distances.record_connect_time(entry.failure_domain, took_s)
@@ -154,22 +165,22 @@
             raise ExchangeFailed(Verdict.NOT_RUN, reason, str(error)) from error
         raise ExchangeFailed(Verdict.NOT_RUN, FailureReason.CONNECT_TIMEOUT)
 
-    async def _keep(self, start: ServerStart, connection: BackendConnection) -> None:
-        connection.rest()
+    async def _add_idle(self, start: ServerStart, connection: BackendConnection) -> None:
+        connection.mark_idle()
         idle = self._idle.setdefault(start, deque())
         idle.append(connection)
-        while len(idle) > KEPT_CONNECTIONS:
+        while len(idle) > MAX_IDLE_CONNECTIONS:
             await idle.popleft().close()
 
-    async def _sweep(self) -> None:
+    async def _close_expired(self) -> None:
         ended: list[BackendConnection] = []
         for start, idle in list(self._idle.items()):
-            rested = [each for each in idle if each.rested_too_long()]
-            for connection in rested:
-                # In place: a request may be looking through the same queue.
+            expired = [candidate for candidate in idle if candidate.has_expired()]
+            for connection in expired:
+                # Removed in place because ``acquire`` may be iterating over the same queue.
                 idle.remove(connection)
             if not idle:
                 del self._idle[start]
-            ended += rested
+            ended += expired
         for connection in ended:
             await connection.close()
