--- a/src/wagtailpoint/cli/quarantine_commands.py
+++ b/src/wagtailpoint/cli/quarantine_commands.py
@@ -26,7 +26,7 @@
 
 @click.group()
 def quarantine() -> None:
-    """List requests that are refused because they crash backend servers, and lift this."""
+    """Show and lift the quarantine of requests that crash backend servers."""
 
 
 @quarantine.command("list")
