--- a/src/wagtailpoint/cli/config_commands.py
+++ b/src/wagtailpoint/cli/config_commands.py
@@ -11,11 +11,11 @@
 from wagtailpoint.cli.changing import (
     ChangeOptions,
     Edit,
-    author_of,
-    base_version_of,
     change,
     read_current,
-    report_landed,
+    report_change,
+    resolve_author,
+    resolve_base_version,
 )
 from wagtailpoint.cli.differences import compare, format_differences
 from wagtailpoint.cli.exit_codes import ExitCode
@@ -46,9 +46,9 @@
 async def apply(
     session: Session, *, files: tuple[Path, ...], options: ChangeOptions
 ) -> Result[Report, CommandError]:
-    """Put the objects of FILES (or of all *.json in a directory) in one change.
+    """Create or replace the objects in FILES (or in all *.json of a directory) in one change.
 
-    The whole configuration that would result is checked before the platform is asked to write.
+    The whole resulting configuration is checked before anything is written to the platform.
     """
     read = read_objects(files)
     if isinstance(read, Err):
@@ -65,7 +65,7 @@
 async def delete(
     session: Session, *, keys: tuple[str, ...], options: ChangeOptions
 ) -> Result[Report, CommandError]:
-    """Delete objects that nothing refers to any more, in one change."""
+    """Delete objects that no other object refers to, in one change."""
 
     def edit(objects: Mapping[str, Any]) -> Result[Edit, InvalidInput]:
         mistakes: list[Mistake] = []
@@ -82,7 +82,7 @@
 @click.argument("what", required=False, default="", metavar="[KIND[/NAME]]")
 @run_command
 async def get(session: Session, *, what: str) -> Result[Report, CommandError]:
-    """List all objects or those of a KIND, or print the one KIND/NAME as JSON."""
+    """List all objects or those of one KIND, or print the object KIND/NAME as JSON."""
     kind, _, name = what.partition("/")
     if kind and kind not in KINDS:
         expected = f"one of: {', '.join(KINDS)}{did_you_mean(kind, KINDS)}"
@@ -95,15 +95,15 @@
         return current
     version, objects = current.ok_value
     if name:
-        return _get_one(version, objects, what)
+        return _get_object(version, objects, what)
     prefix = f"{kind}/" if kind else ""
     found = {key: objects[key] for key in sorted(objects) if key.startswith(prefix)}
-    rows = [[*key.split("/", 1), _summary(value)] for key, value in found.items()]
+    rows = [[*key.split("/", 1), _format_field_names(value)] for key, value in found.items()]
     text = f"version {version}\n{format_table(['kind', 'name', 'fields'], rows)}"
     return Ok(Report(text, {"version": version, "objects": found}))
 
 
-def _get_one(version: int, objects: Mapping[str, Any], key: str) -> Result[Report, CommandError]:
+def _get_object(version: int, objects: Mapping[str, Any], key: str) -> Result[Report, CommandError]:
     mistakes: list[Mistake] = []
     if not check_reference(path=key, given=key, known=objects, what="an object", mistakes=mistakes):
         return Err(InvalidInput(mistakes))
@@ -111,7 +111,7 @@
     return Ok(Report(format_json({key: objects[key]}), data))
 
 
-def _summary(value: Any) -> str:
+def _format_field_names(value: Any) -> str:
     return ", ".join(value) if isinstance(value, dict) else "-"
 
 
@@ -119,7 +119,7 @@
 @_FILES
 @run_command
 async def diff(session: Session, *, files: tuple[Path, ...]) -> Result[Report, CommandError]:
-    """Show what apply FILES would change, field by field, and whether it would be accepted."""
+    """Show the fields that apply FILES would change, and check the resulting configuration."""
     read = read_objects(files)
     if isinstance(read, Err):
         return read
@@ -144,16 +144,19 @@
 
 @click.command()
 @click.option("--most", type=click.IntRange(min=1), default=20, show_default=True)
-@click.option("--change-id", help="Only the change with this id, for example of a lost answer.")
+@click.option(
+    "--change-id",
+    help="Only the change with this id, as shown when the outcome of a change is unknown.",
+)
 @run_command
 async def history(
     session: Session, *, most: int, change_id: str | None
 ) -> Result[Report, CommandError]:
-    """List the newest changes, the newest first."""
+    """List the latest changes, newest first."""
     async with session.open_store() as opened:
         if isinstance(opened, Err):
             return opened
-        found = await opened.ok_value.history(most=most)
+        found = await opened.ok_value.history(max_changes=most)
     if isinstance(found, Err):
         return found
     changes = [info for info in found.ok_value if change_id in (None, info.change_id)]
@@ -164,7 +167,7 @@
     text = format_table(["version", "time", "author", "message", "change id"], rows)
     missing = change_id is not None and not changes
     if missing:
-        text = f"change {change_id} is not among the newest {most}"
+        text = f"change {change_id} is not among the newest {most} changes"
     data = {"changes": [change_data(info) for info in changes]}
     return Ok(Report(text, data, ExitCode.FAILED if missing else ExitCode.OK))
 
@@ -176,9 +179,9 @@
 async def revert(
     session: Session, *, to_version: int, options: ChangeOptions
 ) -> Result[Report, CommandError]:
-    """Write the content of an older VERSION as a newer one, in one step."""
+    """Write the content of an older VERSION as a new version, in one change."""
     if options.wait and not session.profile.entries:
-        return Err(wrong_input("--entry", "nothing", "the address of an entry, for --wait"))
+        return Err(wrong_input("--entry", "nothing", "the address of an entry, which --wait needs"))
     async with session.open_store() as opened:
         if isinstance(opened, Err):
             return opened
@@ -195,27 +198,27 @@
     if to_version >= current.version:
         expected = f"a version before the newest, {current.version}"
         return Err(wrong_input("--to", str(to_version), expected))
-    older = await store.at(to_version)
+    older = await store.read_version(to_version)
     if isinstance(older, Err):
         return older
     target = older.ok_value.objects
     checked = compile_config(version=current.version + 1, objects=target)
     if isinstance(checked, Err):
         return checked
-    base = base_version_of(options, current)
+    base = resolve_base_version(options, current)
     if isinstance(base, Err):
         return base
-    landed = await store.revert(
+    written = await store.revert(
         to_version=to_version,
-        author=author_of(session, options),
+        author=resolve_author(session, options),
         message=options.message or f"revert to version {to_version}",
         base_version=base.ok_value,
     )
-    if isinstance(landed, Err):
-        return landed
+    if isinstance(written, Err):
+        return written
     put = [key for key in sorted(target) if current.objects.get(key) != target[key]]
     deleted = sorted(current.objects.keys() - target.keys())
-    return Ok(await report_landed(session, landed.ok_value, put, deleted, options))
+    return Ok(await report_change(session, written.ok_value, put, deleted, options))
 
 
 @click.command()
@@ -223,7 +226,7 @@
 @run_command
 async def check(session: Session, *, files: tuple[Path, ...]) -> Result[Report, CommandError]:
     """Check settings files, or object files as one configuration, without the platform."""
-    settings_files, object_files = _sort_files(files)
+    settings_files, object_files = _classify_files(files)
     mistakes: list[Mistake] = []
     for path, value in settings_files.items():
         checked = check_settings(value)
@@ -243,16 +246,20 @@
     return Ok(Report(text, {"settings_files": len(settings_files), "objects": len(objects)}))
 
 
-def _sort_files(files: tuple[Path, ...]) -> tuple[dict[Path, Any], list[Path]]:
-    """Tell settings files, which have an address, from object files; mistakes come later."""
+def _classify_files(files: tuple[Path, ...]) -> tuple[dict[Path, Any], list[Path]]:
+    """Separate settings files from object files.
+
+    Only settings files have an ``address``. Files that can't be read or parsed count as object
+    files, so that reading the objects reports their mistakes.
+    """
     settings_files: dict[Path, Any] = {}
     object_files: list[Path] = []
     for path in files:
-        for inside in sorted(path.glob("*.json")) or [path]:
-            parsed = parse_json(inside.read_bytes(), path=str(inside)) if inside.is_file() else None
+        for file in sorted(path.glob("*.json")) or [path]:
+            parsed = parse_json(file.read_bytes(), path=str(file)) if file.is_file() else None
             value = parsed.ok() if parsed is not None else None
             if isinstance(value, dict) and "address" in value:
-                settings_files[inside] = value
+                settings_files[file] = value
             else:
-                object_files.append(inside)
+                object_files.append(file)
     return settings_files, object_files
--- a/src/wagtailpoint/cli/waiting.py
+++ b/src/wagtailpoint/cli/waiting.py
@@ -1,4 +1,4 @@
-"""``--wait``: until every live instance enforces a version."""
+"""Implements ``--wait``: waits until every live instance enforces a version."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -17,15 +17,15 @@
 
 
 class WaitReport(NamedTuple):
-    """How far a version has come.
+    """The instances that enforce a version and those that don't yet.
 
     Attributes:
         version: The version waited for.
-        enforcing: The instances that enforce it, or a newer one.
-        seen: All instances that anyone sees alive, leaving ones included.
-        lagging: The live instances that don't.
-        unreachable: The entries that were asked and did not answer, with the reason.
-        unseen: Instances that the platform lists as live and no entry that was asked sees alive.
+        enforcing: Live instances that enforce it or a newer one.
+        seen: Instances that an entry reports in any state but dead, including leaving ones.
+        lagging: Live instances that enforce an older version or none.
+        unreachable: Entries that did not answer, with the reason.
+        unseen: Instances that the platform lists as live and that aren't among ``seen``.
     """
 
     version: int
@@ -42,7 +42,7 @@
 
     @property
     def data(self) -> dict[str, Any]:
-        """The report as JSON."""
+        """The report as a JSON object."""
         return {
             "version": self.version,
             "in_force": self.done,
@@ -57,7 +57,7 @@
 
     @property
     def text(self) -> str:
-        """The report for people."""
+        """The report as text for people."""
         where = f"in force on {len(self.enforcing)} instances"
         lines = [f"version {self.version} is {where}"]
         if not self.done:
@@ -77,7 +77,7 @@
             lines.append(format_table(headers, rows))
         lines += [
             f"{instance.address} in {instance.failure_domain}: listed as live by the platform, "
-            "and no entry that was asked sees it"
+            "but no entry that answered reports it as alive"
             for instance in self.unseen
         ]
         lines += [f"no answer from {reason}" for reason in self.unreachable]
@@ -90,34 +90,37 @@
     """Wait until every live instance enforces a version, or until the timeout.
 
     Args:
-        session: Its profile's entries are asked; the others are learnt from their members.
-        version: The version.
-        timeout_s: Seconds.
-        progress: Is told each time that more instances enforce the version.
+        session: Provides the entries to poll, whose status reports the other instances.
+        version: The version to wait for.
+        timeout_s: Longest time to wait, in seconds.
+        progress: Called with a line of text when the number of enforcing instances changes.
     """
     report = WaitReport(version)
-    shown = -1
+    reported_count = -1
     with trio.move_on_after(timeout_s):
         while True:
-            report = await _look(session, version)
-            if len(report.enforcing) != shown:
-                shown = len(report.enforcing)
-                total = shown + len(report.lagging)
-                progress(f"version {version}: in force on {shown} of {total} instances")
+            report = await _poll_entries(session, version)
+            if len(report.enforcing) != reported_count:
+                reported_count = len(report.enforcing)
+                total = reported_count + len(report.lagging)
+                progress(f"version {version}: in force on {reported_count} of {total} instances")
             if report.done:
-                report = report._replace(unseen=await _unseen(session, report))
+                report = report._replace(unseen=await _find_unseen_instances(session, report))
             if report.done:
                 break
             await trio.sleep(LIST_INTERVAL_S if report.unseen else POLL_INTERVAL_S)
     return report
 
 
-async def _unseen(session: Session, report: WaitReport) -> tuple[ListedInstance, ...]:
-    """The instances that are live as far as the platform knows, and that nobody speaks for.
+async def _find_unseen_instances(
+    session: Session, report: WaitReport
+) -> tuple[ListedInstance, ...]:
+    """Return the instances that the platform lists as live and no entry reports as alive.
 
-    An instance that is cut off from all others is dead to them and may still serve its callers by
-    an old configuration. The platform's list lags, so one that really died is waited for until the
-    list drops it: rather a wait too long than a change reported in force where it is not.
+    An instance that is partitioned from all others is dead to them, and may still serve callers
+    with an old configuration. The platform's list lags, so an instance that did die is waited for
+    until the list drops it: waiting too long is better than reporting a change as in force
+    everywhere when it is not.
     """
     listed = await session.listed_instances()
     if isinstance(listed, Err):
@@ -127,11 +130,12 @@
     return tuple(instance for instance in live if instance.address not in seen)
 
 
-async def _look(session: Session, version: int) -> WaitReport:
-    """Ask all named entries once.
+async def _poll_entries(session: Session, version: int) -> WaitReport:
+    """Query all entries of the profile once and merge their views.
 
-    One entry's view may be wrong (cut off from a part of the fleet, it does not see what lags
-    there), so the views are united and an instance counts as live if anyone sees it live.
+    The view of a single entry may be wrong: an entry that is partitioned from a part of the fleet
+    does not see the instances that lag there. An instance therefore counts as live if any entry
+    reports it as live.
     """
     members: dict[tuple[EntryAddress, str], Member] = {}
     unreachable = []
@@ -142,7 +146,7 @@
             continue
         for member in read_members(answer.ok_value):
             key = (member.entry, member.incarnation)
-            members[key] = _newer(members.get(key), member)
+            members[key] = _merge_views(members.get(key), member)
     live = [members[key] for key in sorted(members) if members[key].must_enforce]
     enforcing = [member for member in live if (member.config_version or 0) >= version]
     lagging = [member for member in live if (member.config_version or 0) < version]
@@ -155,10 +159,13 @@
     )
 
 
-def _newer(known: Member | None, other: Member) -> Member:
-    """Unite two views of one instance: it never goes back to an older version."""
+def _merge_views(known: Member | None, reported: Member) -> Member:
+    """Merge two views of one instance.
+
+    The newer version wins, as an instance never returns to an older one; so does a live state.
+    """
     if known is None:
-        return other
-    version = max(known.config_version or 0, other.config_version or 0)
-    live = known if known.must_enforce else other
+        return reported
+    version = max(known.config_version or 0, reported.config_version or 0)
+    live = known if known.must_enforce else reported
     return live._replace(config_version=version)
--- a/src/wagtailpoint/discovery/peer_states.py
+++ b/src/wagtailpoint/discovery/peer_states.py
@@ -1,4 +1,4 @@
-"""Asking a peer for what it knows of the store, when the store can't be reached from here."""
+"""Asks a peer for its state of the store while this instance can't reach the store."""
 
 from collections.abc import Mapping, Sequence
 from random import Random
@@ -14,24 +14,24 @@
 from wagtailpoint.ports.platform import StoredObject
 
 REPLY_TIMEOUT_S = 0.4
-"""Above a round trip between the regions that are furthest apart (110 ms)."""
+"""Longer than a round trip between the two most distant regions (110 ms)."""
 
 
 class StateQuestion(NamedTuple):
-    """Asks for a state of a kind that is newer than a version."""
+    """Asks for the state of a kind if it is newer than a version."""
 
     kind: str
     newer_than: int
 
 
 class StateAnswer(NamedTuple):
-    """The state, or version 0 if there is none that is newer.
+    """Answers with the state, or with version 0 if there is no newer one.
 
     Attributes:
         reached: Whether the answering instance reaches the store.
         version: The store's version.
         objects: Name, version and value of each object.
-        proof: Proves that state, or the one asked about if there is none newer.
+        proof: Proof of that state, or of the version in the question if there is no newer one.
     """
 
     reached: bool
@@ -45,7 +45,7 @@
 
 
 class PeerStateExchange:
-    """Asks peers, and answers them; implements ``discovery.follower.PeerStates``."""
+    """Asks peers for states and answers them; implements ``discovery.kind_state.PeerStates``."""
 
     def __init__(
         self,
@@ -56,14 +56,14 @@
         random: Random,
         proofs: Mapping[str, Freshness],
     ) -> None:
-        """Make it, without any kind to answer for.
+        """Initialise the exchange, without any kind to answer for.
 
         Args:
-            peers: The links to the others.
-            membership: Who is there.
-            seeds: Whom to ask while nobody is known to be there.
-            random: Chooses whom to ask.
-            proofs: The kinds whose proof is passed on.
+            peers: The links to the other instances.
+            membership: Knows the live instances.
+            seeds: Addresses to ask while no other instance is known to be live.
+            random: Chooses the peer to ask.
+            proofs: The freshness of each kind whose proof is sent along.
         """
         self._proofs = proofs
         self._peers = peers
@@ -71,27 +71,27 @@
         self._seeds = tuple(seeds)
         self._random = random
         self._followers: Mapping[str, KindFollower] = {}
-        peers.handle(StateQuestion, self._answer)
+        peers.handle(StateQuestion, self._on_question)
 
     def set_followers(self, followers: Mapping[str, KindFollower]) -> None:
-        """Answer questions from these followers, by kind."""
+        """Set the followers, by kind, whose states are sent to peers."""
         self._followers = followers
 
     async def ask(self, kind: str, newer_than: int) -> PeerState | None:
-        """Ask a peer; None if it does not answer."""
-        to = self._someone()
-        if to is None:
+        """Ask a random peer for a newer state; None if there is no peer or no answer."""
+        peer = self._choose_peer()
+        if peer is None:
             return None
         proof = self._proofs.get(kind)
         asked_at = proof.now() if proof is not None else 0.0
         answered = await self._peers.request(
-            to, StateQuestion(kind, newer_than), timeout_s=REPLY_TIMEOUT_S
+            peer, StateQuestion(kind, newer_than), timeout_s=REPLY_TIMEOUT_S
         )
         if not isinstance(answered, Ok) or not isinstance(answered.ok_value, StateAnswer):
             return None
         answer = answered.ok_value
         if proof is not None and answer.proof is not None:
-            proof.note_peer(answer.proof, asked_at)
+            proof.record_peer_proof(answer.proof, asked_at)
         if answer.version <= newer_than:
             return PeerState(answer.reached, None)
         objects = {
@@ -100,7 +100,7 @@
         }
         return PeerState(answer.reached, KindState(answer.version, objects))
 
-    def _someone(self) -> PeerAddress | None:
+    def _choose_peer(self) -> PeerAddress | None:
         own = self._peers.address
         live = [
             member.peer_address
@@ -110,16 +110,16 @@
         choices = live or [seed for seed in self._seeds if seed.address != own.address]
         return self._random.choice(choices) if choices else None
 
-    def _answer(self, received: Received) -> StateAnswer:
+    def _on_question(self, received: Received) -> StateAnswer:
         question: StateQuestion = received.message
         follower = self._followers.get(question.kind)
         if follower is None:
             return StateAnswer(False, 0, ())
         reached = follower.lost_for_s == 0.0
         freshness = self._proofs.get(question.kind)
-        proof = freshness.tell(freshness.now()) if freshness is not None else None
+        proof = freshness.proof_for_peer(freshness.now()) if freshness is not None else None
         state = follower.state
         if state.version <= question.newer_than:
             return StateAnswer(reached, 0, (), proof)
-        objects = [(each.name, each.version, each.value) for each in state.objects.values()]
+        objects = [(stored.name, stored.version, stored.value) for stored in state.objects.values()]
         return StateAnswer(reached, state.version, objects, proof)
--- a/src/wagtailpoint/entry/forwarding.py
+++ b/src/wagtailpoint/entry/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding of one admitted request: slot, exchange, retry, until a response or a failure."""
+"""Forwards admitted requests to backend servers, with slots, retries and hedging."""
 
 import secrets
 from collections.abc import AsyncIterator, Callable, Sequence
@@ -12,8 +12,14 @@
 from wagtailpoint.admission.refusal import Refusal, RefusalCode, refuse
 from wagtailpoint.admission.slots import ServerChoice, Slot, SlotDemand, SlotPool
 from wagtailpoint.config.model import BackendServer
-from wagtailpoint.entry.crash_evidence import CrashEvidence
-from wagtailpoint.entry.hedging import BUDGET_KEPT, Copy, HedgeDelays, Race, may_hedge
+from wagtailpoint.entry.crash_detector import CrashDetector
+from wagtailpoint.entry.hedging import (
+    BUDGET_RESERVED_FOR_RETRIES,
+    HedgeDelays,
+    HedgedExchange,
+    SendCopy,
+    may_hedge,
+)
 from wagtailpoint.entry.observer import EntryObserver
 from wagtailpoint.entry.plan import Plan, PlannedRequest
 from wagtailpoint.entry.request import without_headers
@@ -36,46 +42,46 @@
     names.VERDICT,
     names.REQUEST_ID,
 )
-LEAST_EXCHANGE_S = 0.001
+MIN_EXCHANGE_S = 0.001
 FAILED_RETRY_AFTER_S = 1.0
 QUARANTINED_RETRY_AFTER_S = 60.0
 
 
 class ResponseSink(Protocol):
-    """Takes the response while the exchange is open."""
+    """Receives the response while the exchange is open."""
 
     async def __call__(self, response: BackendResponse) -> None:
-        """Pass the response on, whole."""
+        """Forward the complete response."""
         ...
 
 
 class ServerSource(Protocol):
-    """Which backend servers take new work of a request, and what became of it there."""
+    """Selects the backend servers for a request and records the outcomes of exchanges."""
 
     def pool(self, plan: Plan) -> str:
-        """Names the candidates: requests with the same ones wait in one line."""
+        """Return the name of the slot pool; requests with the same candidates share one queue."""
         ...
 
     def choice(self, plan: Plan) -> ServerChoice:
-        """The choice among the backend servers that may take it."""
+        """Return the choice among the backend servers that may take the request."""
         ...
 
     def record_outcome(
         self, server: BackendServer, answered: BackendResponse | BackendFailure, latency_s: float
     ) -> None:
-        """Take note of how an exchange ended; ``latency_s`` until the response's headers."""
+        """Record the outcome of an exchange and the latency until the response headers."""
         ...
 
 
-class Attempt(NamedTuple):
-    """One exchange that was made."""
+class FailedAttempt(NamedTuple):
+    """An exchange that failed."""
 
     server: BackendServer
     failure: BackendFailure
 
 
 class Forwarder:
-    """Sends a request to backend servers until it is answered or may not be tried again."""
+    """Sends a request to backend servers until it is answered or must not be retried."""
 
     def __init__(
         self,
@@ -94,25 +100,25 @@
         self._servers = servers
         self._budget = budget
         self._quarantine = quarantine
-        self._evidence = CrashEvidence(backends=backends, quarantine=quarantine, clock=clock)
-        self._delays = HedgeDelays()
+        self._crash_detector = CrashDetector(backends=backends, quarantine=quarantine, clock=clock)
+        self._hedge_delays = HedgeDelays()
         self._observer = observer
 
-    def remaining(self, plan: Plan) -> float:
-        """Seconds left until the request's deadline, never negative."""
-        return self.until(plan.deadline)
+    def remaining_s(self, plan: Plan) -> float:
+        """Return the seconds left until the request's deadline, at least 0."""
+        return self.seconds_until(plan.deadline)
 
-    def until(self, deadline: float) -> float:
-        """Seconds left until a time of the monotonic clock, never negative."""
+    def seconds_until(self, deadline: float) -> float:
+        """Return the seconds left until a time of the monotonic clock, at least 0."""
         return max(0.0, deadline - self._clock.monotonic())
 
     async def forward(
         self, planned: PlannedRequest, *, sink: ResponseSink
     ) -> Result[None, Refusal]:
-        """Forward a request; ``sink`` takes the response.
+        """Forward a request and pass the response to ``sink``.
 
         Raises:
-            BodyBroken: The response broke off after the sink had begun.
+            BodyBroken: The response was truncated after the sink had been called.
         """
         answered = False
         try:
@@ -126,85 +132,93 @@
         plan, fingerprint = planned.plan, planned.fingerprint
         budget = self._budget(plan)
         budget.record_request()
-        tried: list[Attempt] = []
+        failed_attempts: list[FailedAttempt] = []
         while True:
             if self._quarantine.admission(fingerprint) is Admission.QUARANTINED:
-                return Err(_after_attempts(_quarantined(), tried))
+                return Err(_with_attempt_verdicts(_quarantined(), failed_attempts))
             admitted = await self._slots.acquire(
-                self._demand(plan, [each.server for each in tried])
+                self._demand(plan, [failed.server for failed in failed_attempts])
             )
             if isinstance(admitted, Err):
-                return Err(_after_attempts(admitted.err_value, tried))
+                return Err(_with_attempt_verdicts(admitted.err_value, failed_attempts))
             slot = admitted.ok_value
-            # It may have waited for its slot while others like it crashed what they met.
+            # Checked again: while this request waited for its slot, requests with the same
+            # fingerprint may have crashed backend servers.
             admission = self._quarantine.admission(fingerprint)
             if admission is not Admission.ADMITTED:
                 self._slots.release(slot)
-                late = admission is Admission.QUARANTINED
-                return Err(_after_attempts(_quarantined() if late else _suspect(), tried))
-            if self.remaining(plan) < LEAST_EXCHANGE_S:
-                # Sent now, it would only be cut off, with an outcome that nobody knows.
+                is_quarantined = admission is Admission.QUARANTINED
+                return Err(
+                    _with_attempt_verdicts(
+                        _quarantined() if is_quarantined else _suspect(), failed_attempts
+                    )
+                )
+            if self.remaining_s(plan) < MIN_EXCHANGE_S:
+                # The exchange would be cut off at the deadline with an unknown outcome.
                 self._slots.release(slot)
-                return Err(_after_attempts(_deadline_passed(), tried))
+                return Err(_with_attempt_verdicts(_deadline_passed(), failed_attempts))
             send = partial(self._send, planned)
-            if tried or not self._is_hedged(planned, slot):
-                attempts = await self._send_one(send, slot, sink)
+            if failed_attempts or not self._is_hedged(planned, slot):
+                new_failures = await self._send_one(send, slot, sink)
             else:
-                attempts = await self._send_hedged(send, slot, sink, plan)
-            if not attempts:
+                new_failures = await self._send_hedged(send, slot, sink, plan)
+            if not new_failures:
                 return Ok(None)
-            tried += attempts
-            failure = attempts[-1].failure
+            failed_attempts += new_failures
+            failure = new_failures[-1].failure
             decision = decide_retry(
                 idempotent=plan.route.idempotent,
                 verdict=failure.verdict,
                 response_started=False,
-                attempts=len(tried),
-                remaining_s=self.remaining(plan),
+                attempts=len(failed_attempts),
+                remaining_s=self.remaining_s(plan),
                 budget=budget,
             )
-            # A streamed body has been read in part by the first attempt: it can't be sent again.
+            # A streamed body was partly consumed by the first attempt and can't be sent again.
             again = decision.allowed and planned.stream is None
             again = again and self._quarantine.allows_retry(fingerprint)
-            for attempt in attempts:
+            for attempt in new_failures:
                 self._observer.on_exchange_failed(
                     planned.request, attempt.server.address, attempt.failure, again=again
                 )
             if not again:
-                return Err(_failed(failure, tried))
+                return Err(_failed(failure, failed_attempts))
 
-    async def _send_one(self, send: Copy, slot: Slot, sink: ResponseSink) -> list[Attempt]:
-        """Send it once; return the attempt if it failed."""
+    async def _send_one(
+        self, send: SendCopy, slot: Slot, sink: ResponseSink
+    ) -> list[FailedAttempt]:
+        """Send the request once; return the failed attempt, or an empty list on success."""
         failure = await send(slot, sink)
-        return [] if failure is None else [Attempt(slot.server, failure)]
+        return [] if failure is None else [FailedAttempt(slot.server, failure)]
 
     async def _send_hedged(
-        self, send: Copy, slot: Slot, sink: ResponseSink, plan: Plan
-    ) -> list[Attempt]:
-        """Send a second copy when the first is slow; return the attempts if all failed."""
-        race = Race(
-            copy=send,
+        self, send: SendCopy, slot: Slot, sink: ResponseSink, plan: Plan
+    ) -> list[FailedAttempt]:
+        """Send a hedged request if the first is slow; return the failed attempts if all failed."""
+        hedged = HedgedExchange(
+            send_copy=send,
             sink=sink,
-            second=lambda: self._second_slot(plan, slot),
-            delay_s=self._delays.delay_s(slot.pool),
+            take_second_slot=lambda: self._second_slot(plan, slot),
+            delay_s=self._hedge_delays.delay_s(slot.pool),
         )
-        await race.run(slot)
-        self._delays.note(slot.pool, slow=race.slow)
-        if race.answered:
+        await hedged.run(slot)
+        self._hedge_delays.record(slot.pool, slow=hedged.slow)
+        if hedged.answered:
             return []
-        return [Attempt(failed.server, failure) for failed, failure in race.failures]
+        return [FailedAttempt(failed.server, failure) for failed, failure in hedged.failures]
 
     def _is_hedged(self, planned: PlannedRequest, slot: Slot) -> bool:
         if planned.stream is not None or self._quarantine.crashes(planned.fingerprint):
             return False
-        # Under overload no second copy would be sent; preparing for one costs processor time.
+        # Under overload no slot is idle, so that no hedged request could be sent, and preparing for
+        # one costs processor time.
         return may_hedge(planned.plan) and self._slots.has_idle(slot.pool)
 
     def _second_slot(self, plan: Plan, first: Slot) -> Slot | None:
-        """A slot for a second copy; only an idle one, and out of the retry budget."""
-        if not self._slots.has_idle(first.pool) or self.remaining(plan) < LEAST_EXCHANGE_S:
+        """Take an idle slot for a hedged request, which is charged to the retry budget."""
+        if not self._slots.has_idle(first.pool) or self.remaining_s(plan) < MIN_EXCHANGE_S:
             return None
-        if not self._budget(plan).take(reserve_fraction=BUDGET_KEPT):
+        if not self._budget(plan).take(reserve_fraction=BUDGET_RESERVED_FOR_RETRIES):
             return None
         return self._slots.take_idle(self._demand(plan, [first.server]))
 
@@ -213,10 +227,10 @@
     ) -> BackendFailure | None:
         self._quarantine.record_started(planned.fingerprint)
         try:
-            sent = _as_sent(planned, self.remaining(planned.plan))
+            sent = _backend_request(planned, self.remaining_s(planned.plan))
             failure = await self._exchange(slot, sent, sink)
             if failure is not None:
-                await self._evidence.note(planned, slot.server, failure)
+                await self._crash_detector.report_if_crashed(planned, slot.server, failure)
             return failure
         finally:
             self._quarantine.record_ended(planned.fingerprint)
@@ -251,22 +265,22 @@
         )
 
 
-def _as_sent(planned: PlannedRequest, remaining_s: float) -> BackendRequest:
+def _backend_request(planned: PlannedRequest, remaining_s: float) -> BackendRequest:
     plan, request = planned.plan, planned.request
     return BackendRequest(
         request_id=secrets.token_hex(8),
         method=request.method,
         target=request.target,
         headers=without_headers(request.headers, NOT_FORWARDED),
-        # None and not an empty body: a GET would else be sent as chunked.
-        body=_once(planned.body) if planned.body else planned.stream,
+        # With an empty iterator instead of None, a GET would be sent with chunked encoding.
+        body=_single_chunk(planned.body) if planned.body else planned.stream,
         deadline_s=remaining_s,
         idempotent=plan.route.idempotent,
         echoes_request_id=plan.service.echoes_request_id,
     )
 
 
-async def _once(body: bytes) -> AsyncIterator[bytes]:
+async def _single_chunk(body: bytes) -> AsyncIterator[bytes]:
     yield body
 
 
@@ -274,7 +288,7 @@
     return refuse(
         HTTPStatus.SERVICE_UNAVAILABLE,
         RefusalCode.QUARANTINED,
-        "backend servers crashed while they ran this request; it is kept from them",
+        "backend servers crashed while they ran this request; it is quarantined",
         QUARANTINED_RETRY_AFTER_S,
     )
 
@@ -283,7 +297,7 @@
     return refuse(
         HTTPStatus.SERVICE_UNAVAILABLE,
         RefusalCode.NO_SLOT,
-        "backend servers crashed while they ran this request, and others like it are under way",
+        "backend servers crashed while they ran this request, and identical requests are in flight",
         FAILED_RETRY_AFTER_S,
     )
 
@@ -297,16 +311,18 @@
     )
 
 
-def _after_attempts(refusal: Refusal, tried: Sequence[Attempt]) -> Refusal:
-    """A refusal after failed attempts can't claim more than the attempts allow."""
-    if all(attempt.failure.verdict is Verdict.NOT_RUN for attempt in tried):
+def _with_attempt_verdicts(refusal: Refusal, failed_attempts: Sequence[FailedAttempt]) -> Refusal:
+    """Return the refusal with verdict ``MAY_HAVE_RUN`` if any failed attempt may have run."""
+    if all(attempt.failure.verdict is Verdict.NOT_RUN for attempt in failed_attempts):
         return refusal
     return refusal._replace(verdict=Verdict.MAY_HAVE_RUN)
 
 
-def _failed(failure: BackendFailure, tried: Sequence[Attempt]) -> Refusal:
+def _failed(failure: BackendFailure, failed_attempts: Sequence[FailedAttempt]) -> Refusal:
     timed_out = failure.reason == "timeout"
-    servers = ", ".join(f"{attempt.server.address} {attempt.failure.reason}" for attempt in tried)
+    servers = ", ".join(
+        f"{attempt.server.address} {attempt.failure.reason}" for attempt in failed_attempts
+    )
     refusal = Refusal(
         HTTPStatus.GATEWAY_TIMEOUT if timed_out else HTTPStatus.BAD_GATEWAY,
         RefusalCode.DEADLINE_PASSED if timed_out else RefusalCode.BACKEND_FAILED,
@@ -316,4 +332,4 @@
     )
     if failure.shed:
         refusal = refusal._replace(status=HTTPStatus.SERVICE_UNAVAILABLE, code=RefusalCode.NO_SLOT)
-    return _after_attempts(refusal, tried)
+    return _with_attempt_verdicts(refusal, failed_attempts)
