--- a/bench/locality.py
+++ b/bench/locality.py
@@ -52,7 +52,7 @@
     median_ms: float
     p99_ms: float
     refused: int
-    left_region_part: float
+    left_region_fraction: float
 
 
 class RegionBlindChoice:
@@ -169,13 +169,13 @@
         }
         _last_results[load.name] = results
         assert (
-            results["near"].left_region_part < 0.6 * results["alike"].left_region_part
+            results["near"].left_region_fraction < 0.6 * results["alike"].left_region_fraction
         ), f"{results}"
         assert results["near"].median_ms < results["alike"].median_ms, f"{results}"
         lines += [
             f"{load.name:5} {name:6} {result.median_ms:7.1f} {result.p99_ms:7.1f} "
             f"{result.refused:8} "
-            f"{result.left_region_part:12.2f}"
+            f"{result.left_region_fraction:12.2f}"
             for name, result in results.items()
         ]
     return lines
--- a/bench/member_group.py
+++ b/bench/member_group.py
@@ -75,10 +75,12 @@
         stdin.write(line + "\n")
         stdin.flush()
 
-    def reports(self, *, but: str | None = None) -> Reports:
-        """Return the reports of all instances by address, except a suspended one (`but`)."""
+    def reports(self, *, except_address: str | None = None) -> Reports:
+        """Return the reports of all instances by address, except of ``except_address``."""
         processes = {
-            address: process for address, process in self._processes.items() if address != but
+            address: process
+            for address, process in self._processes.items()
+            if address != except_address
         }
         for address in processes:
             self.command(address, "report")
@@ -88,7 +90,9 @@
             reports[address] = json.loads(process.stdout.readline())
         return reports
 
-    def until(self, condition: Callable[[Reports], bool], *, but: str | None = None) -> Reports:
+    def wait_until(
+        self, condition: Callable[[Reports], bool], *, except_address: str | None = None
+    ) -> Reports:
         """Wait until a condition holds for the reports; return these.
 
         Raises:
@@ -96,7 +100,7 @@
         """
         ends_at = time.monotonic() + WAIT_TIMEOUT_S
         while time.monotonic() < ends_at:
-            reports = self.reports(but=but)
+            reports = self.reports(except_address=except_address)
             if condition(reports):
                 return reports
             time.sleep(POLL_INTERVAL_S)
@@ -104,16 +108,20 @@
             f"condition not met after {WAIT_TIMEOUT_S} s with {len(self._processes)} instances"
         )
 
-    def until_seen(self, key: str) -> float:
+    def wait_until_seen(self, key: str) -> float:
         """Wait until all instances have observed an event.
 
         Returns:
             The monotonic time, in seconds, at which the last instance observed it.
         """
-        reports = self.until(lambda now: all(key in address["seen"] for address in now.values()))
+        reports = self.wait_until(
+            lambda now: all(key in address["seen"] for address in now.values())
+        )
         return max(float(address["seen"][key]) for address in reports.values())
 
-    def until_all_live(self) -> Reports:
+    def wait_until_all_live(self) -> Reports:
         """Wait until every instance considers every instance live; return the reports."""
         live = dict.fromkeys(self.addresses, "live")
-        return self.until(lambda now: all(address["states"] == live for address in now.values()))
+        return self.wait_until(
+            lambda now: all(address["states"] == live for address in now.values())
+        )
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -122,22 +122,22 @@
     newest = 2 + CHANGES
     started_at = time.monotonic()
     group.command(publisher, f"offer {newest}")
-    reported_at = group.until_seen(f"all enforce {newest}")
-    has_at = group.until_seen(f"has {newest}")
+    reported_at = group.wait_until_seen(f"all enforce {newest}")
+    has_at = group.wait_until_seen(f"has {newest}")
     left_at = time.monotonic()
     group.command(leaver, "leave")
-    leave_s = group.until_seen(f"{leaver} leaving") - left_at
+    leave_s = group.wait_until_seen(f"{leaver} leaving") - left_at
     died_at = time.monotonic()
     group.kill(victim)
-    death_s = group.until_seen(f"{victim} dead") - died_at
+    death_s = group.wait_until_seen(f"{victim} dead") - died_at
     return Spread(has_at - started_at, reported_at - started_at, leave_s, death_s)
 
 
 def _measure(count: int, *, window_s: float, settings: dict[str, Any]) -> Figures:
     with ProcessGroup(count=count, settings=settings) as group:
-        group.until_all_live()
+        group.wait_until_all_live()
         group.command(group.addresses[0], "offer 1")
-        group.until_seen("all enforce 1")
+        group.wait_until_seen("all enforce 1")
         time.sleep(SETTLE_DELAY_S)
         idle = _measure_cost(group, lambda: time.sleep(window_s))
         busy = _measure_cost(group, lambda: _change_config(group))
--- a/tests/cover/test_locality.py
+++ b/tests/cover/test_locality.py
@@ -82,6 +82,6 @@
         """
         alike = measure(load=LOADS[0], near=False, requests=300)
         near = measure(load=LOADS[0], near=True, requests=300)
-        self.assertGreater(alike.left_region_part, 0.2)
-        self.assertLess(near.left_region_part, 0.05)
+        self.assertGreater(alike.left_region_fraction, 0.2)
+        self.assertLess(near.left_region_fraction, 0.05)
         self.assertLess(near.median_ms, alike.median_ms / 1.5)
--- a/tests/integration/test_membership_processes.py
+++ b/tests/integration/test_membership_processes.py
@@ -12,10 +12,12 @@
     def setUp(self) -> None:
         self.group = ProcessGroup(count=COUNT, settings=QUICK)
         self.enterContext(self.group)
-        self.group.until_all_live()
+        self.group.wait_until_all_live()
 
     def all_have_version(self, version: int) -> None:
-        self.group.until(lambda now: all(report["version"] == version for report in now.values()))
+        self.group.wait_until(
+            lambda now: all(report["version"] == version for report in now.values())
+        )
 
     def test_killed_process_is_replaced_at_its_address(self) -> None:
         """Guards against a replacement that cannot serve, or is mistaken for the dead process.
@@ -29,11 +31,11 @@
         victim = self.group.addresses[-1]
         former = self.group.reports()[victim]["incarnations"][victim]
         self.group.kill(victim)
-        self.group.until(
+        self.group.wait_until(
             lambda now: all(report["states"][victim] == "dead" for report in now.values())
         )
         self.group.start(COUNT)
-        reports = self.group.until_all_live()
+        reports = self.group.wait_until_all_live()
         seen = {report["incarnations"][victim] for report in reports.values()}
         self.assertEqual(len(seen), 1)
         self.assertNotIn(former, seen)
@@ -51,8 +53,8 @@
         def dead_to_all(now: Reports) -> bool:
             return all(report["states"][victim] == "dead" for report in now.values())
 
-        self.group.until(dead_to_all, but=victim)
+        self.group.wait_until(dead_to_all, except_address=victim)
         self.group.command(self.group.addresses[0], "offer 7")
         self.group.thaw(victim)
-        self.group.until_all_live()
+        self.group.wait_until_all_live()
         self.all_have_version(7)
