--- a/src/wagtailpoint/adapters/backend_headers.py
+++ b/src/wagtailpoint/adapters/backend_headers.py
@@ -35,7 +35,7 @@
 
 
 def request_headers(
-    server: BackendAddress, request: BackendRequest, *, left_s: float
+    server: BackendAddress, request: BackendRequest, *, remaining_s: float
 ) -> list[tuple[bytes, bytes]]:
     """The headers to send.
 
@@ -53,13 +53,13 @@
             headers.append((b"Content-Length", b"0"))
     elif first_value(headers, b"content-length") is None:
         headers.append((b"Transfer-Encoding", b"chunked"))
-    deadline_ms = max(1, int((left_s - RETURN_ALLOWANCE_S) * 1000))
+    deadline_ms = max(1, int((remaining_s - RETURN_ALLOWANCE_S) * 1000))
     headers.append((b"Wagtailpoint-Deadline-Ms", str(deadline_ms).encode()))
     headers.append((b"Wagtailpoint-Request-Id", request.request_id.encode()))
     return headers
 
 
-def is_for_us(headers: Headers, request: BackendRequest, *, must_echo: bool) -> bool:
+def matches_request(headers: Headers, request: BackendRequest, *, must_echo: bool) -> bool:
     """Whether a response answers this request, as far as its request id tells."""
     echoed = first_value(headers, REQUEST_ID_HEADER)
     if echoed is None:
@@ -73,12 +73,12 @@
     return float(value) if value is not None and value.isdigit() else None
 
 
-def says_draining(headers: Headers) -> bool:
+def is_draining(headers: Headers) -> bool:
     """Whether the backend server said that it is leaving."""
     return first_value(headers, DRAINING_HEADER) == b"1"
 
 
-def has_known_end(method: str, status: int, headers: Headers) -> bool:
+def has_delimited_body(method: str, status: int, headers: Headers) -> bool:
     """Whether the end of a response's body can be told from a broken connection."""
     if method == "HEAD" or status in (204, 304):
         return True
--- a/src/wagtailpoint/adapters/backend_http.py
+++ b/src/wagtailpoint/adapters/backend_http.py
@@ -28,21 +28,21 @@
 )
 from wagtailpoint.verdict import Verdict
 
-KEPT_CONNECTIONS = 12
+MAX_IDLE_CONNECTIONS = 12
 """Idle connections kept for each backend server."""
 
-MOST_CONNECTIONS = 36
+MAX_CONNECTIONS = 36
 """Exchanges at the same time with one backend server: 9 entries share its 330 connections."""
 
-BODY_STALL_S = 30.0
+BODY_STALL_TIMEOUT_S = 30.0
 """How long a response's body may stand still, in seconds, before it counts as broken: a frozen
 backend server would otherwise hold a slot of the entry forever."""
 
-REFUSAL_BODY_S = 0.05
+SHED_BODY_TIMEOUT_S = 0.05
 """How long the body of a shed answer is waited for, in seconds, to use its connection again."""
 
-REFUSAL_BODY_BYTES = 16 * 1024
-REPORT_BYTES = 64 * 1024
+MAX_SHED_BODY_BYTES = 16 * 1024
+MAX_REPORT_BYTES = 64 * 1024
 OK_STATUS = 200
 SHED_STATUS = 503
 
@@ -79,9 +79,9 @@
     def __init__(
         self,
         *,
-        kept_connections: int = KEPT_CONNECTIONS,
-        most_connections: int = MOST_CONNECTIONS,
-        body_stall_s: float = BODY_STALL_S,
+        kept_connections: int = MAX_IDLE_CONNECTIONS,
+        max_connections: int = MAX_CONNECTIONS,
+        body_stall_s: float = BODY_STALL_TIMEOUT_S,
     ) -> None:
         """Make an adapter without any connection.
 
@@ -90,8 +90,8 @@
             most_connections: Exchanges at the same time with one backend server.
             body_stall_s: How long a response's body may stand still, in seconds.
         """
-        self._kept = kept_connections
-        self._most = most_connections
+        self._max_idle = kept_connections
+        self._max_connections = max_connections
         self._body_stall_s = body_stall_s
         self._pools: dict[BackendAddress, ConnectionPool] = {}
         self._probes = 0
@@ -116,11 +116,11 @@
             return
         connection = acquired.ok_value
         try:
-            answered = await _send(connection, server, request, deadline)
-            if isinstance(answered, Err):
-                yield answered
+            outcome = await _send(connection, server, request, deadline)
+            if isinstance(outcome, Err):
+                yield outcome
                 return
-            response = answered.ok_value
+            response = outcome.ok_value
             body = ResponseBody(response=response, stall_s=self._body_stall_s)
             try:
                 headers = backend_headers.end_to_end(response.headers)
@@ -145,10 +145,10 @@
             idempotent=True,
         )
         with trio.move_on_after(timeout_s):
-            async with self.exchange(server, request) as answered:
-                if isinstance(answered, Err):
-                    return answered
-                return await _read_report(answered.ok_value)
+            async with self.exchange(server, request) as outcome:
+                if isinstance(outcome, Err):
+                    return outcome
+                return await _read_report(outcome.ok_value)
         return Err(BackendFailure(Verdict.MAY_HAVE_RUN, FailureReason.TIMEOUT))
 
     async def close(self, server: BackendAddress) -> None:
@@ -160,7 +160,9 @@
     def _pool(self, server: BackendAddress) -> ConnectionPool:
         pool = self._pools.get(server)
         if pool is None:
-            pool = ConnectionPool(server=server, kept=self._kept, most=self._most)
+            pool = ConnectionPool(
+                server=server, max_idle=self._max_idle, max_connections=self._max_connections
+            )
             self._pools[server] = pool
         return pool
 
@@ -223,7 +225,7 @@
 ) -> Result[httpcore.Response, BackendFailure]:
     """Send the request and wait for the head of its response."""
     connection.stream.start_request()
-    left_s = deadline - trio.current_time()
+    remaining_s = deadline - trio.current_time()
     try:
         with trio.move_on_at(deadline):
             http_request = httpcore.Request(
@@ -234,43 +236,45 @@
                     port=connection.origin.port,
                     target=request.target.encode(),
                 ),
-                headers=backend_headers.request_headers(server, request, left_s=left_s),
+                headers=backend_headers.request_headers(server, request, remaining_s=remaining_s),
                 content=request.body,
             )
             response = await connection.http.handle_async_request(http_request)
-            return await _judge(request, response)
+            return await _classify_response(request, response)
         reason = FailureReason.TIMEOUT
     except (httpcore.LocalProtocolError, h11.LocalProtocolError):
         reason = FailureReason.BAD_REQUEST
     except (httpcore.RemoteProtocolError, httpcore.NetworkError):
-        reason = FailureReason.RESET if connection.stream.ended else FailureReason.BAD_RESPONSE
-    handed_over = connection.stream.handed_over
-    return Err(BackendFailure(Verdict.MAY_HAVE_RUN if handed_over else Verdict.NOT_RUN, reason))
+        reason = (
+            FailureReason.RESET if connection.stream.closed_by_peer else FailureReason.BAD_RESPONSE
+        )
+    may_have_sent = connection.stream.may_have_sent
+    return Err(BackendFailure(Verdict.MAY_HAVE_RUN if may_have_sent else Verdict.NOT_RUN, reason))
 
 
-async def _judge(
+async def _classify_response(
     request: BackendRequest, response: httpcore.Response
 ) -> Result[httpcore.Response, BackendFailure]:
     """Tell a usable response from a shed one and from one that can't be trusted."""
     headers = response.headers
-    if not backend_headers.is_for_us(headers, request, must_echo=request.echoes_request_id):
+    if not backend_headers.matches_request(headers, request, must_echo=request.echoes_request_id):
         return Err(BackendFailure(Verdict.MAY_HAVE_RUN, FailureReason.CROSSED_ANSWER))
     shed = backend_headers.first_value(headers, backend_headers.SHED_HEADER)
     if response.status == SHED_STATUS and shed == backend_headers.SHED_NOT_RUN:
         await _discard_body(response)
         # A shed answer without our id might be meant for another request, while ours runs: only
         # one that bears it is a promise, also from a service that need not repeat ids elsewhere.
-        ours = backend_headers.is_for_us(headers, request, must_echo=True)
+        bears_own_id = backend_headers.matches_request(headers, request, must_echo=True)
         return Err(
             BackendFailure(
-                Verdict.NOT_RUN if ours else Verdict.MAY_HAVE_RUN,
+                Verdict.NOT_RUN if bears_own_id else Verdict.MAY_HAVE_RUN,
                 FailureReason.SHED,
                 shed=True,
                 retry_after_s=backend_headers.retry_after_s(headers),
-                draining=backend_headers.says_draining(headers),
+                draining=backend_headers.is_draining(headers),
             )
         )
-    if not backend_headers.has_known_end(request.method, response.status, headers):
+    if not backend_headers.has_delimited_body(request.method, response.status, headers):
         return Err(BackendFailure(Verdict.MAY_HAVE_RUN, FailureReason.BAD_RESPONSE))
     return Ok(response)
 
@@ -278,13 +282,13 @@
 async def _discard_body(response: httpcore.Response) -> None:
     """Read a short body to its end, so that the connection can be used again."""
     stream: Any = response.stream
-    left = REFUSAL_BODY_BYTES
+    remaining_bytes = MAX_SHED_BODY_BYTES
     try:
-        with trio.move_on_after(REFUSAL_BODY_S):
+        with trio.move_on_after(SHED_BODY_TIMEOUT_S):
             async with aclosing(aiter(stream)) as chunks:
                 async for chunk in chunks:
-                    left -= len(chunk)
-                    if left < 0:
+                    remaining_bytes -= len(chunk)
+                    if remaining_bytes < 0:
                         break
     except (httpcore.ProtocolError, httpcore.NetworkError):
         pass  # the verdict came with the head; the connection is closed below
@@ -298,7 +302,7 @@
     try:
         async for chunk in response.body:
             content += chunk
-            if len(content) > REPORT_BYTES:
+            if len(content) > MAX_REPORT_BYTES:
                 return bad
         report = msgspec.json.decode(content, type=_Report)
     except (BodyBroken, msgspec.DecodeError):
--- a/src/wagtailpoint/adapters/backend_pool.py
+++ b/src/wagtailpoint/adapters/backend_pool.py
@@ -8,7 +8,7 @@
 from wagtailpoint.adapters.backend_stream import RecordingStream, connect
 from wagtailpoint.ports.backend import BackendAddress
 
-IDLE_LIMIT_S = 4.0
+IDLE_TIMEOUT_S = 4.0
 """The longest rest of a connection, in seconds; just under the shortest usual keep-alive time of
 servers (5 s), so that mostly we close it and not they."""
 
@@ -34,13 +34,13 @@
         self.stream = stream
         self.origin = httpcore.Origin(b"http", server.address.encode(), server.port)
         self.http = httpcore.AsyncHTTP11Connection(origin=self.origin, stream=stream)
-        self.rested_since = trio.current_time()
-        self.rest_before_use_s: float | None = None
+        self.idle_since = trio.current_time()
+        self.idle_before_reuse_s: float | None = None
 
     @property
-    def rest_s(self) -> float:
+    def idle_s(self) -> float:
         """How long it has been idle, in seconds."""
-        return trio.current_time() - self.rested_since
+        return trio.current_time() - self.idle_since
 
     @property
     def reusable(self) -> bool:
@@ -50,13 +50,13 @@
         Content-Length) stay in the parser, which httpcore does not look at: the next request on
         the connection would be given them as its answer.
         """
-        leftover, ended = self.http._h11_state.trailing_data
-        return self.http.is_idle() and not leftover and not ended
+        leftover, closed_by_peer = self.http._h11_state.trailing_data
+        return self.http.is_idle() and not leftover and not closed_by_peer
 
     @property
-    def broken_after_rest(self) -> bool:
+    def found_closed_on_reuse(self) -> bool:
         """Whether it was used again and found closed, without any word of an answer."""
-        return self.rest_before_use_s is not None and self.stream.ended_silently
+        return self.idle_before_reuse_s is not None and self.stream.closed_before_response
 
     @property
     def closed_by_server(self) -> bool:
@@ -81,7 +81,7 @@
         reused: Exchanges so far that used a connection again.
     """
 
-    def __init__(self, *, server: BackendAddress, kept: int, most: int) -> None:
+    def __init__(self, *, server: BackendAddress, max_idle: int, max_connections: int) -> None:
         """Make an empty pool.
 
         Args:
@@ -92,11 +92,11 @@
         self.opened = 0
         self.reused = 0
         self._server = server
-        self._kept = kept
-        self._turns = trio.Semaphore(most)
+        self._max_idle = max_idle
+        self._exchange_slots = trio.Semaphore(max_connections)
         # The last one used is the first one used again, so that the others grow old and go.
         self._idle: deque[PooledConnection] = deque()
-        self._safe_idle_s = SAFE_IDLE_S
+        self._max_reuse_idle_s = SAFE_IDLE_S
 
     @property
     def idle(self) -> int:
@@ -112,58 +112,58 @@
         Raises:
             OSError: A new connection can't be opened.
         """
-        await self._turns.acquire()
+        await self._exchange_slots.acquire()
         try:
             return await self._take(idempotent=idempotent)
         except BaseException:
-            self._turns.release()
+            self._exchange_slots.release()
             raise
 
     async def release(self, connection: PooledConnection) -> None:
         """Give a connection back: it is kept if it is clean, otherwise closed."""
-        self._turns.release()
-        if connection.broken_after_rest:
-            self._learn_closed(connection.rest_before_use_s)
+        self._exchange_slots.release()
+        if connection.found_closed_on_reuse:
+            self._record_closed(connection.idle_before_reuse_s)
         if not connection.reusable:
             await connection.close()
             return
-        self._learn_alive(connection.rest_before_use_s)
-        connection.rested_since = trio.current_time()
+        self._record_reused(connection.idle_before_reuse_s)
+        connection.idle_since = trio.current_time()
         self._idle.append(connection)
-        while len(self._idle) > self._kept:
+        while len(self._idle) > self._max_idle:
             await self._idle.popleft().close()
 
     async def retire(self) -> None:
         """Close the idle connections, and the others as their exchanges end."""
         # Otherwise an exchange that outlives its backend server's place in the configuration would
         # leave its connection open in a pool that nobody looks at any more.
-        self._kept = 0
+        self._max_idle = 0
         await self.close_idle()
 
-    async def close_idle(self, *, rested_s: float = 0.0) -> None:
+    async def close_idle(self, *, min_idle_s: float = 0.0) -> None:
         """Close the idle connections that rested for so many seconds."""
-        while self._idle and self._idle[0].rest_s >= rested_s:
+        while self._idle and self._idle[0].idle_s >= min_idle_s:
             await self._idle.popleft().close()
 
     async def _take(self, *, idempotent: bool) -> PooledConnection:
-        await self.close_idle(rested_s=IDLE_LIMIT_S)
-        limit_s = IDLE_LIMIT_S if idempotent else self._safe_idle_s
-        while self._idle and self._idle[-1].rest_s <= limit_s:
+        await self.close_idle(min_idle_s=IDLE_TIMEOUT_S)
+        max_idle_s = IDLE_TIMEOUT_S if idempotent else self._max_reuse_idle_s
+        while self._idle and self._idle[-1].idle_s <= max_idle_s:
             connection = self._idle.pop()
             if not connection.closed_by_server:
                 self.reused += 1
-                connection.rest_before_use_s = connection.rest_s
+                connection.idle_before_reuse_s = connection.idle_s
                 return connection
-            self._learn_closed(connection.rest_s)
-            limit_s = limit_s if idempotent else self._safe_idle_s
+            self._record_closed(connection.idle_s)
+            max_idle_s = max_idle_s if idempotent else self._max_reuse_idle_s
             await connection.close()
         self.opened += 1
         return PooledConnection(server=self._server, stream=await connect(self._server))
 
-    def _learn_closed(self, rest_s: float | None) -> None:
-        if rest_s is not None:
-            self._safe_idle_s = min(self._safe_idle_s, rest_s / 2)
+    def _record_closed(self, idle_s: float | None) -> None:
+        if idle_s is not None:
+            self._max_reuse_idle_s = min(self._max_reuse_idle_s, idle_s / 2)
 
-    def _learn_alive(self, rest_s: float | None) -> None:
-        if rest_s is not None:
-            self._safe_idle_s = max(self._safe_idle_s, min(SAFE_IDLE_S, rest_s / 2))
+    def _record_reused(self, idle_s: float | None) -> None:
+        if idle_s is not None:
+            self._max_reuse_idle_s = max(self._max_reuse_idle_s, min(SAFE_IDLE_S, idle_s / 2))
--- a/src/wagtailpoint/adapters/backend_stream.py
+++ b/src/wagtailpoint/adapters/backend_stream.py
@@ -21,39 +21,39 @@
 
     def __init__(self, *, stream: trio.SocketStream) -> None:
         self._stream = stream
-        self._handed_over = False
-        self._ended = False
-        self._answer_began = False
+        self._may_have_sent = False
+        self._closed_by_peer = False
+        self._response_began = False
 
     @property
-    def ended_silently(self) -> bool:
+    def closed_before_response(self) -> bool:
         """Whether the peer ended the connection before any byte of the present response."""
-        return self._ended and not self._answer_began
+        return self._closed_by_peer and not self._response_began
 
     @property
-    def ended(self) -> bool:
+    def closed_by_peer(self) -> bool:
         """Whether the peer closed or reset the connection."""
-        return self._ended
+        return self._closed_by_peer
 
     @property
-    def handed_over(self) -> bool:
+    def may_have_sent(self) -> bool:
         """Whether a byte of the present request may have been handed to the socket."""
-        return self._handed_over
+        return self._may_have_sent
 
     def start_request(self) -> None:
         """Forget the request before."""
-        self._handed_over = False
-        self._answer_began = False
+        self._may_have_sent = False
+        self._response_began = False
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:  # noqa: ASYNC109
         """Read some bytes; none at the end."""
         try:
             data = await self._stream.receive_some(max_bytes)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-            self._ended = True
+            self._closed_by_peer = True
             raise httpcore.ReadError(str(error)) from error
-        self._ended = not data
-        self._answer_began = self._answer_began or bool(data)
+        self._closed_by_peer = not data
+        self._response_began = self._response_began or bool(data)
         return bytes(data)
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:  # noqa: ASYNC109
@@ -62,7 +62,7 @@
             return
         # Set before the write and not after it: a write that fails or is cancelled half-way has
         # sent bytes too, and a `not-run` after that would let a release be paid twice.
-        self._handed_over = True
+        self._may_have_sent = True
         try:
             await self._stream.send_all(buffer)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
--- a/src/wagtailpoint/adapters/http_body.py
+++ b/src/wagtailpoint/adapters/http_body.py
@@ -9,7 +9,7 @@
 from wagtailpoint.adapters.http_connection import CallerConnection
 from wagtailpoint.entry.request import BodyTooLarge, BodyTooSlow
 
-LEAST_BYTES_PER_S = 8 * 1024
+MIN_BYTES_PER_S = 8 * 1024
 """A body is waited for as long as a caller may stall, and a second more for each so many bytes.
 
 A caller that trickles its body, on purpose or not, would otherwise hold the slot of a backend
@@ -25,12 +25,12 @@
         *,
         receive: ASGIReceiveCallable,
         connection: CallerConnection,
-        most_bytes: int,
+        max_bytes: int,
         stall_s: float,
     ) -> None:
         self._receive = receive
         self._connection = connection
-        self._most_bytes = most_bytes
+        self._max_bytes = max_bytes
         self._stall_s = stall_s
 
     async def chunks(self) -> AsyncIterator[bytes]:
@@ -40,19 +40,19 @@
             BodyTooLarge: It is longer than this instance takes.
             BodyTooSlow: The caller sends it too slowly.
         """
-        await self._connection.ask_for_body()
+        await self._connection.send_continue()
         size = 0
         waited_s = 0.0
         while True:
-            began = trio.current_time()
-            with trio.move_on_after(self._stall_s + size / LEAST_BYTES_PER_S - waited_s) as scope:
+            wait_started = trio.current_time()
+            with trio.move_on_after(self._stall_s + size / MIN_BYTES_PER_S - waited_s) as scope:
                 message: Any = await self._receive()
             if scope.cancelled_caught:
                 raise BodyTooSlow
             # Only the time in which the caller was waited for, not that in which we did not read.
-            waited_s += trio.current_time() - began
+            waited_s += trio.current_time() - wait_started
             size += len(message["body"])
-            if size > self._most_bytes:
+            if size > self._max_bytes:
                 raise BodyTooLarge
             if message["body"]:
                 yield message["body"]
--- a/src/wagtailpoint/adapters/http_connection.py
+++ b/src/wagtailpoint/adapters/http_connection.py
@@ -15,12 +15,12 @@
     CallerProtocol,
     QuickHandler,
     ServerConfig,
-    slow_head,
+    slow_head_refusal,
 )
 from wagtailpoint.proxy.caller_connection import reset_on_close
 
-LINGER_S = 2.0
-LINGER_BYTES = 16 * 1024 * 1024
+LINGER_TIMEOUT_S = 2.0
+MAX_LINGER_BYTES = 16 * 1024 * 1024
 """The rest of a request's body that is read and dropped after an early reply, before the connection
 is closed: a close with unread bytes resets the connection, and the reset can overtake the reply."""
 
@@ -42,7 +42,7 @@
     stall_s: float
 
 
-Resting = dict["CallerConnection", float]
+IdleConnections = dict["CallerConnection", float]
 """The connections without an open request and since when, longest first."""
 
 
@@ -57,7 +57,7 @@
         config: ServerConfig,
         context: WorkerContext,
         limits: CallerLimits,
-        resting: Resting,
+        idle_connections: IdleConnections,
         quick: QuickHandler | None = None,
         is_leaving: Callable[[], bool] = lambda: False,
     ) -> None:
@@ -78,14 +78,14 @@
         self._config = config
         self._context = context
         self._limits = limits
-        self._resting = resting
+        self._idle_connections = idle_connections
         self._quick = quick
         self._is_leaving = is_leaving
         self._reading = trio.CancelScope()
         self._request: trio.CancelScope | None = None
-        self._gone = False
-        self._over = False
-        self._head_began = False
+        self._disconnected = False
+        self._closed_locally = False
+        self._head_started = False
         self._protocol: CallerProtocol
 
     async def run(self) -> None:
@@ -93,31 +93,31 @@
         try:
             async with TaskGroup() as group:
                 self._protocol = self._make_protocol(group)
-                self._rest()
+                self._mark_idle()
                 with self._reading:
                     await self._read()
-                if self._reading.cancelled_caught and not self._over:
-                    await self._end_idle()
-                if not self._over:
-                    self._caller_is_gone()
+                if self._reading.cancelled_caught and not self._closed_locally:
+                    await self._refuse_slow_head()
+                if not self._closed_locally:
+                    self._handle_disconnect()
                 elif self._request is not None:
                     # Refused in the middle of its body: nothing of it will come any more.
                     self._request.cancel()
         finally:
-            self._resting.pop(self, None)
-            with trio.move_on_after(LINGER_S, shield=True):
+            self._idle_connections.pop(self, None)
+            with trio.move_on_after(LINGER_TIMEOUT_S, shield=True):
                 await self._close()
 
-    def end_if_resting(self) -> None:
+    def close_if_idle(self) -> None:
         """Close it, unless a request is open."""
-        if self in self._resting:
-            self._over = True
+        if self in self._idle_connections:
+            self._closed_locally = True
             self._reading.cancel()
 
-    def rest_until(self, deadline: float) -> None:
+    def limit_idle_until(self, deadline: float) -> None:
         """Let it rest no longer than this, by trio's clock."""
         # Its end is ours then, not the caller's: it is closed and not reset.
-        self._over = True
+        self._closed_locally = True
         self._reading.deadline = min(self._reading.deadline, deadline)
 
     @contextmanager
@@ -125,14 +125,14 @@
         """Cancel what runs inside when the caller has gone."""
         with trio.CancelScope() as scope:
             self._request = scope
-            if self._gone:
+            if self._disconnected:
                 scope.cancel()
             yield
         self._request = None
 
-    async def ask_for_body(self) -> None:
+    async def send_continue(self) -> None:
         """Tell a caller that waits for it to send its body."""
-        await self._protocol.ask_for_body()
+        await self._protocol.send_continue()
 
     async def flush(self) -> None:
         """Send the headers of the reply now, without waiting for a part of its body."""
@@ -164,58 +164,58 @@
             await self._protocol.handle(RawData(data))
             if not data:
                 return
-            if not self._head_began and self._protocol.head_is_unfinished:
-                self._head_began = True
+            if not self._head_started and self._protocol.head_is_unfinished:
+                self._head_started = True
                 self._reading.deadline = trio.current_time() + self._limits.stall_s
 
     async def _send(self, event: Event) -> None:
         if isinstance(event, RawData):
             await self._write(event.data)
         elif isinstance(event, Closed):
-            self._over = True
+            self._closed_locally = True
             self._reading.cancel()
         elif isinstance(event, Updated) and event.idle:
-            self._rest()
+            self._mark_idle()
         elif isinstance(event, Updated):
-            self._resting.pop(self, None)
+            self._idle_connections.pop(self, None)
             self._reading.deadline = float("inf")
 
     async def _write(self, data: bytes) -> None:
-        if self._gone:
+        if self._disconnected:
             return
-        whole = False
+        is_complete = False
         try:
             with (
                 trio.move_on_after(self._limits.stall_s),
                 suppress(OSError, trio.ClosedResourceError),
             ):
                 await self._stream.send_all(data)
-                whole = True
+                is_complete = True
         finally:
             # Whatever ended the write half-way, nothing may follow what was sent of it.
-            if not whole:
-                self._caller_is_gone()
+            if not is_complete:
+                self._handle_disconnect()
 
-    def _rest(self) -> None:
+    def _mark_idle(self) -> None:
         now = trio.current_time()
-        self._head_began = False
-        self._resting.pop(self, None)
-        self._resting[self] = now
+        self._head_started = False
+        self._idle_connections.pop(self, None)
+        self._idle_connections[self] = now
         self._reading.deadline = now + self._limits.idle_s
 
-    def _caller_is_gone(self) -> None:
-        self._gone = True
+    def _handle_disconnect(self) -> None:
+        self._disconnected = True
         self._reading.cancel()
         if self._request is not None:
             self._request.cancel()
 
-    async def _end_idle(self) -> None:
+    async def _refuse_slow_head(self) -> None:
         if self._protocol.head_is_unfinished:
-            await self._protocol.refuse(slow_head())
+            await self._protocol.refuse(slow_head_refusal())
 
     async def _close(self) -> None:
         try:
-            if self._gone or self._protocol.end_is_ambiguous:
+            if self._disconnected or self._protocol.end_is_ambiguous:
                 # A reply that broke off must not look whole to a caller that waits for the end.
                 reset_on_close(self._stream)
             elif self._protocol.has_unread_body:
@@ -228,10 +228,10 @@
     """End our side, and read what the caller still sends, within bounds."""
     with suppress(OSError, trio.BrokenResourceError, trio.ClosedResourceError):
         await stream.send_eof()
-        left = LINGER_BYTES
-        with trio.move_on_after(LINGER_S):
-            while left > 0:
+        remaining_bytes = MAX_LINGER_BYTES
+        with trio.move_on_after(LINGER_TIMEOUT_S):
+            while remaining_bytes > 0:
                 data = await stream.receive_some(READ_BYTES)
                 if not data:
                     return
-                left -= len(data)
+                remaining_bytes -= len(data)
--- a/src/wagtailpoint/adapters/http_protocol.py
+++ b/src/wagtailpoint/adapters/http_protocol.py
@@ -21,7 +21,7 @@
 
 BODY_HEADERS = frozenset((b"content-length", b"transfer-encoding"))
 
-MISTAKE_RETRY_AFTER_S = 60.0
+BAD_REQUEST_RETRY_AFTER_S = 60.0
 SLOW_RETRY_AFTER_S = 1.0
 
 
@@ -61,7 +61,7 @@
     to take notice of the connection's end.
     """
 
-    _held = b""
+    _held_head = b""
     quick: QuickHandler | None = None
     is_leaving: Callable[[], bool] = staticmethod(lambda: False)
 
@@ -103,7 +103,7 @@
             await self._send_h11_event(h11.EndOfMessage())
         await self.send(Closed())
 
-    async def ask_for_body(self) -> None:
+    async def send_continue(self) -> None:
         """Send `100 Continue` if the caller waits for it."""
         if self.connection.they_are_waiting_for_100_continue:
             await self._send_h11_event(h11.InformationalResponse(status_code=100, headers=[]))
@@ -111,27 +111,27 @@
 
     async def flush(self) -> None:
         """Send the headers of a response now, without waiting for a part of its body."""
-        held, self._held = self._held, b""
-        if held:
-            await self._write(held)
+        held_head, self._held_head = self._held_head, b""
+        if held_head:
+            await self._write(held_head)
 
     async def stream_send(self, event: Event) -> None:
         """Pass on what the application sends."""
         if isinstance(event, Response):
-            headers = self._complete(event.headers)
+            headers = self._with_connection_headers(event.headers)
             response = h11.Response(status_code=event.status_code, headers=headers)
             await self._send_h11_event(response)
         else:
             await super().stream_send(event)
 
-    def _complete(self, headers: Headers) -> list[tuple[bytes, bytes]]:
+    def _with_connection_headers(self, headers: Headers) -> list[tuple[bytes, bytes]]:
         complete = list(headers)
         if all(name != b"date" for name, _ in headers):
             complete += self.config.response_headers("h11")
         # The rest of a body that is not read would stand before the next request; and an instance
         # that leaves closes its connections soon, perhaps just when the next request is sent.
-        ends = self.connection.their_state is h11.SEND_BODY or self.is_leaving()
-        if ends or self.keep_alive_requests >= self.config.keep_alive_max_requests:
+        must_close = self.connection.their_state is h11.SEND_BODY or self.is_leaving()
+        if must_close or self.keep_alive_requests >= self.config.keep_alive_max_requests:
             complete.append((b"connection", b"close"))
         return complete
 
@@ -140,7 +140,7 @@
             try:
                 event = self.connection.next_event()
             except h11.RemoteProtocolError as error:
-                await self.refuse(_unreadable(error))
+                await self.refuse(_malformed_refusal(error))
                 return
             if isinstance(event, h11.Request):
                 refusal = _check_head(event)
@@ -199,7 +199,9 @@
         """Reply within the task that reads, without an application's task and queue."""
         connection = self.connection
         connection.next_event()  # The end of the request, which has no body.
-        response = h11.Response(status_code=reply.status, headers=self._complete(reply.headers))
+        response = h11.Response(
+            status_code=reply.status, headers=self._with_connection_headers(reply.headers)
+        )
         await self._write(
             (connection.send(response) or b"")
             + (connection.send(h11.Data(data=reply.body)) or b"")
@@ -216,12 +218,12 @@
                 raise
             return
         if isinstance(event, h11.Response):
-            self._held = data
+            self._held_head = data
         elif isinstance(event, h11.InformationalResponse):
             await self._write(data)
-        elif data or self._held:
-            held, self._held = self._held, b""
-            await self._write(held + data)
+        elif data or self._held_head:
+            held_head, self._held_head = self._held_head, b""
+            await self._write(held_head + data)
 
     async def _write(self, data: bytes) -> None:
         await self.send(RawData(data=data))
@@ -235,10 +237,10 @@
             self.stream = None
 
 
-def _unreadable(error: h11.RemoteProtocolError) -> Refusal:
+def _malformed_refusal(error: h11.RemoteProtocolError) -> Refusal:
     status = HTTPStatus(error.error_status_hint)
     reason = f"given bytes that are no HTTP/1.1 request: {error}"
-    return refuse_unread(status, RefusalCode.BAD_REQUEST, reason, MISTAKE_RETRY_AFTER_S)
+    return refuse_unread(status, RefusalCode.BAD_REQUEST, reason, BAD_REQUEST_RETRY_AFTER_S)
 
 
 def _check_head(request: h11.Request) -> Refusal | None:
@@ -250,7 +252,7 @@
             HTTPStatus.HTTP_VERSION_NOT_SUPPORTED,
             RefusalCode.BAD_REQUEST,
             f"given HTTP/{request.http_version.decode('ascii')}, expected HTTP/1.1",
-            MISTAKE_RETRY_AFTER_S,
+            BAD_REQUEST_RETRY_AFTER_S,
         )
     names = {name for name, _ in request.headers}
     if b"content-length" in names and b"transfer-encoding" in names:
@@ -258,12 +260,12 @@
             HTTPStatus.BAD_REQUEST,
             RefusalCode.BAD_REQUEST,
             "given both Content-Length and Transfer-Encoding, expected one of them",
-            MISTAKE_RETRY_AFTER_S,
+            BAD_REQUEST_RETRY_AFTER_S,
         )
     return None
 
 
-def slow_head() -> Refusal:
+def slow_head_refusal() -> Refusal:
     """The refusal of a caller that does not finish its headers."""
     return refuse_unread(
         HTTPStatus.REQUEST_TIMEOUT,
--- a/src/wagtailpoint/adapters/http_server.py
+++ b/src/wagtailpoint/adapters/http_server.py
@@ -15,7 +15,12 @@
 
 from wagtailpoint import headers as names
 from wagtailpoint.adapters.http_body import RequestBody
-from wagtailpoint.adapters.http_connection import CallerConnection, CallerLimits, Resting, linger
+from wagtailpoint.adapters.http_connection import (
+    CallerConnection,
+    CallerLimits,
+    IdleConnections,
+    linger,
+)
 from wagtailpoint.adapters.http_protocol import QuickHandler, ServerConfig, refuse_unread
 from wagtailpoint.admission.refusal import Refusal, RefusalCode
 from wagtailpoint.entry.request import CallerRequest, header_value, without_headers
@@ -24,28 +29,28 @@
 from wagtailpoint.ports.clock import Clock
 from wagtailpoint.verdict import Verdict
 
-MOST_REQUESTS_A_CONNECTION = 100_000
+MAX_REQUESTS_PER_CONNECTION = 100_000
 BACKLOG = 1024
 
-GRACE_S = 3.0
+SHUTDOWN_GRACE_S = 3.0
 """How long replies that are still under way when the server ends may take, in seconds."""
 
-QUEUED_BODY_PARTS = 2
+MAX_QUEUED_BODY_PARTS = 2
 """Parts (of 64 KiB at most) of a request's body that wait for the application."""
 
-HELD_HEADERS_BYTES = 64 * 1024
+MAX_COALESCED_BODY_BYTES = 64 * 1024
 """The headers of a reply with a body up to this length leave together with it."""
 
-PIECE_BYTES = 64 * 1024
+WRITE_CHUNK_BYTES = 64 * 1024
 """Replies are written in pieces of this size; a caller has a limited time to take each."""
 
-SETTLED_S = 1.0
+MIN_IDLE_BEFORE_CLOSE_S = 1.0
 """A connection that has been idle for so many seconds makes room for a new one when all are
 taken."""
 
-MOST_TURNED_AWAY = 64
-TURNED_AWAY_RETRY_AFTER_S = 1.0
-FAULT_RETRY_AFTER_S = 1.0
+MAX_CONCURRENT_REFUSALS = 64
+CONNECTIONS_FULL_RETRY_AFTER_S = 1.0
+INTERNAL_ERROR_RETRY_AFTER_S = 1.0
 
 RequestHandler = Callable[[CallerRequest, "AsgiReply"], Awaitable[None]]
 
@@ -102,14 +107,14 @@
         sent += [(names.VERDICT, verdict.value.encode()), *self._own_headers]
         await self._send({"type": "http.response.start", "status": int(status), "headers": sent})
         length = header_value(headers, b"content-length")
-        if length is None or not length.isdigit() or int(length) > HELD_HEADERS_BYTES:
+        if length is None or not length.isdigit() or int(length) > MAX_COALESCED_BODY_BYTES:
             await self._connection.flush()
 
     async def send(self, data: bytes) -> None:
         """Send a part of the body; waits while the caller reads slowly."""
-        for start in range(0, len(data), PIECE_BYTES):
-            piece = data[start : start + PIECE_BYTES]
-            await self._send({"type": "http.response.body", "body": piece, "more_body": True})
+        for start in range(0, len(data), WRITE_CHUNK_BYTES):
+            chunk = data[start : start + WRITE_CHUNK_BYTES]
+            await self._send({"type": "http.response.body", "body": chunk, "more_body": True})
 
     async def finish(self) -> None:
         """End the body: from here on the reply is whole."""
@@ -157,8 +162,8 @@
         self._config = _hypercorn_config(options)
         self._context = WorkerContext(None)
         self._connections = 0
-        self._turned_away = 0
-        self._resting: Resting = {}
+        self._open_refusals = 0
+        self._idle_connections: IdleConnections = {}
 
     @property
     def connections(self) -> int:
@@ -192,15 +197,15 @@
                 task_status.started()
                 await stop()
                 # Kept open beyond the listeners, which are closed with the task that accepts.
-                waiting = [_duplicate(listener) for listener in listeners]
+                pending_sockets = [_duplicate(listener) for listener in listeners]
                 accepting.cancel_scope.cancel()
-            for each in waiting:
-                self._accept_waiting(each, connections)
+            for pending_socket in pending_sockets:
+                self._accept_pending(pending_socket, connections)
             await self._context.terminated.set()
-            self._end_resting()
-            connections.cancel_scope.deadline = trio.current_time() + GRACE_S
+            self._close_idle()
+            connections.cancel_scope.deadline = trio.current_time() + SHUTDOWN_GRACE_S
 
-    def _accept_waiting(self, listening: socket.socket, connections: trio.Nursery) -> None:
+    def _accept_pending(self, listening: socket.socket, connections: trio.Nursery) -> None:
         """Accept what waits in the kernel's queue, and close the listening socket.
 
         Those callers are connected already and may have sent their requests. Closing the socket
@@ -212,22 +217,22 @@
                 stream = trio.SocketStream(trio.socket.from_stdlib_socket(accepted))
                 connections.start_soon(self._serve_connection, stream)
 
-    def _end_resting(self) -> None:
+    def _close_idle(self) -> None:
         """Close the connections without a request, those that were just opened a little later.
 
         A caller sends its request right after it has connected. Closed at once, that request would
         be reset on its way, and its caller could not know that it never ran.
         """
         now = trio.current_time()
-        for connection, since in list(self._resting.items()):
-            if now - since >= SETTLED_S:
-                connection.end_if_resting()
+        for connection, since in list(self._idle_connections.items()):
+            if now - since >= MIN_IDLE_BEFORE_CLOSE_S:
+                connection.close_if_idle()
             else:
-                connection.rest_until(now + SETTLED_S)
+                connection.limit_idle_until(now + MIN_IDLE_BEFORE_CLOSE_S)
 
     async def _serve_connection(self, stream: trio.SocketStream) -> None:
-        if self._connections >= self._options.connections and not self._make_room():
-            await self._turn_away(stream)
+        if self._connections >= self._options.connections and not self._evict_idle():
+            await self._refuse_connection(stream)
             return
         self._connections += 1
         try:
@@ -237,7 +242,7 @@
                 config=self._config,
                 context=self._context,
                 limits=self._options.limits,
-                resting=self._resting,
+                idle_connections=self._idle_connections,
                 quick=self._quick,
                 is_leaving=self._is_leaving,
             ).run()
@@ -246,31 +251,31 @@
         finally:
             self._connections -= 1
 
-    def _make_room(self) -> bool:
+    def _evict_idle(self) -> bool:
         """End the connection that has been idle for the longest, if that is long enough.
 
         Otherwise callers that open connections and send nothing would keep out all others. One
         that was used a moment ago is spared: its caller may be sending the next request just now.
         """
-        connection, since = next(iter(self._resting.items()), (None, 0.0))
-        if connection is None or trio.current_time() - since < SETTLED_S:
+        connection, since = next(iter(self._idle_connections.items()), (None, 0.0))
+        if connection is None or trio.current_time() - since < MIN_IDLE_BEFORE_CLOSE_S:
             return False
-        connection.end_if_resting()
+        connection.close_if_idle()
         return True
 
-    async def _turn_away(self, stream: trio.SocketStream) -> None:
+    async def _refuse_connection(self, stream: trio.SocketStream) -> None:
         async with stream:
-            if self._turned_away >= MOST_TURNED_AWAY:
+            if self._open_refusals >= MAX_CONCURRENT_REFUSALS:
                 return
-            self._turned_away += 1
+            self._open_refusals += 1
             try:
-                with trio.move_on_after(TURNED_AWAY_RETRY_AFTER_S):
-                    await stream.send_all(_turned_away_bytes(self._options.connections))
+                with trio.move_on_after(CONNECTIONS_FULL_RETRY_AFTER_S):
+                    await stream.send_all(_connections_full_response(self._options.connections))
                     await linger(stream)
             except (OSError, trio.BrokenResourceError):
                 pass
             finally:
-                self._turned_away -= 1
+                self._open_refusals -= 1
 
     async def _application(
         self, scope: Any, receive: ASGIReceiveCallable, send: ASGISendCallable
@@ -279,7 +284,7 @@
         body = RequestBody(
             receive=receive,
             connection=connection,
-            most_bytes=self._options.request_body_bytes,
+            max_bytes=self._options.request_body_bytes,
             stall_s=self._options.limits.stall_s,
         )
         request = _caller_request(scope, body, self._clock.monotonic())
@@ -305,7 +310,7 @@
             if reply.begun:
                 await reply.cut()
             else:
-                await reply.refuse(_fault())
+                await reply.refuse(_internal_error_refusal())
                 await reply.finish()
 
 
@@ -318,14 +323,14 @@
 def _hypercorn_config(options: ServerOptions) -> ServerConfig:
     config = ServerConfig()
     config.h11_max_incomplete_size = options.header_bytes
-    config.keep_alive_max_requests = MOST_REQUESTS_A_CONNECTION
-    config.max_app_queue_size = QUEUED_BODY_PARTS
+    config.keep_alive_max_requests = MAX_REQUESTS_PER_CONNECTION
+    config.max_app_queue_size = MAX_QUEUED_BODY_PARTS
     config.errorlog = None
     config.accesslog = None
     return config
 
 
-def _caller_request(scope: HTTPScope, body: RequestBody, arrived: float) -> CallerRequest:
+def _caller_request(scope: HTTPScope, body: RequestBody, arrived_at: float) -> CallerRequest:
     headers = list(scope["headers"])
     length = header_value(headers, b"content-length")
     chunked = header_value(headers, b"transfer-encoding") is not None
@@ -340,17 +345,17 @@
         headers=headers,
         content_length=int(length) if length is not None else None,
         body=body.chunks() if has_body else None,
-        arrived_at=arrived,
+        arrived_at=arrived_at,
         client=scope["client"][0] if scope["client"] else "",
     )
 
 
-def _turned_away_bytes(most: int) -> bytes:
+def _connections_full_response(max_connections: int) -> bytes:
     refusal = refuse_unread(
         HTTPStatus.SERVICE_UNAVAILABLE,
         RefusalCode.CONNECTIONS_FULL,
-        f"this instance has {most} open connections and takes no more; use another entry",
-        TURNED_AWAY_RETRY_AFTER_S,
+        f"this instance has {max_connections} open connections and takes no more; use another entry",
+        CONNECTIONS_FULL_RETRY_AFTER_S,
     )
     body = refusal.body()
     headers = [
@@ -362,11 +367,11 @@
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
 
-def _fault() -> Refusal:
+def _internal_error_refusal() -> Refusal:
     return Refusal(
         HTTPStatus.INTERNAL_SERVER_ERROR,
         RefusalCode.INTERNAL_ERROR,
         "a fault of this instance; its log says more",
         Verdict.MAY_HAVE_RUN,
-        FAULT_RETRY_AFTER_S,
+        INTERNAL_ERROR_RETRY_AFTER_S,
     )
--- a/src/wagtailpoint/adapters/object_calls.py
+++ b/src/wagtailpoint/adapters/object_calls.py
@@ -18,11 +18,11 @@
 
 from wagtailpoint.errors import OutcomeUnknown, PlatformUnavailable
 
-_MOST_CONNECTIONS = 32
+_MAX_CONNECTIONS = 32
 
 # A write that leaves on an idle connection just as the platform closes it has an unknown outcome.
 # Servers close idle connections after 5 s and more, so ours are dropped well before.
-_IDLE_CONNECTION_S = 2.0
+_IDLE_TIMEOUT_S = 2.0
 
 _FIRST_BYTE_EVENT = "send_request_headers.started"
 
@@ -78,7 +78,7 @@
     retry_after_s: float | None
 
 
-Lost = OutcomeUnknown | PlatformUnavailable
+CallError = OutcomeUnknown | PlatformUnavailable
 
 
 class ObjectCalls:
@@ -98,8 +98,8 @@
         self._timeout_s = timeout_s
         self._preferred = 0
         self._pool = httpcore.AsyncConnectionPool(
-            max_connections=_MOST_CONNECTIONS,
-            keepalive_expiry=_IDLE_CONNECTION_S,
+            max_connections=_MAX_CONNECTIONS,
+            keepalive_expiry=_IDLE_TIMEOUT_S,
             socket_options=_SOCKET_OPTIONS,
         )
 
@@ -114,50 +114,52 @@
             return Err(PlatformUnavailable(str(outcome.err_value)))
         return cast("Result[Answer, PlatformUnavailable]", outcome)
 
-    async def write(self, call: Call) -> Result[Answer, Lost]:
+    async def write(self, call: Call) -> Result[Answer, CallError]:
         """Make a call that changes something; an answer may still be a conflict."""
         outcome = await self.send(call)
         if isinstance(outcome, Ok) and outcome.ok_value.status in REFUSALS:
-            return Err(refused(outcome.ok_value))
+            return Err(refusal_error(outcome.ok_value))
         return outcome
 
-    async def send(self, call: Call) -> Result[Answer, Lost]:
+    async def send(self, call: Call) -> Result[Answer, CallError]:
         """Try the addresses in turn, from the last one that answered."""
-        lost: Lost = PlatformUnavailable("the platform was not asked")
+        error: CallError = PlatformUnavailable("the platform was not asked")
         count = len(self._addresses)
-        give_up_s = trio.current_time() + self._timeout_s
-        for tried in range(count):
-            turn = (self._preferred + tried) % count
-            share_s = (give_up_s - trio.current_time()) / (count - tried)
+        deadline = trio.current_time() + self._timeout_s
+        for attempt in range(count):
+            index = (self._preferred + attempt) % count
+            attempt_share_s = (deadline - trio.current_time()) / (count - attempt)
             # A write that has left waits for its answer as long as it may: going on to the next
             # address would only turn a late answer into an unknown outcome.
-            limit_s = give_up_s - trio.current_time() if call.writes else share_s
-            outcome = await self._attempt(call, self._addresses[turn], share_s, limit_s)
+            limit_s = deadline - trio.current_time() if call.writes else attempt_share_s
+            outcome = await self._attempt(call, self._addresses[index], attempt_share_s, limit_s)
             if isinstance(outcome, Ok) and outcome.ok_value.status != UNAVAILABLE:
-                self._preferred = turn
+                self._preferred = index
                 return outcome
-            lost = outcome.err_value if isinstance(outcome, Err) else refused(outcome.ok_value)
-            if isinstance(lost, OutcomeUnknown) and call.writes:
+            error = (
+                outcome.err_value if isinstance(outcome, Err) else refusal_error(outcome.ok_value)
+            )
+            if isinstance(error, OutcomeUnknown) and call.writes:
                 return outcome
-        return Err(lost)
+        return Err(error)
 
     async def _attempt(
         self, call: Call, address: tuple[str, int], connect_s: float, limit_s: float
-    ) -> Result[Answer, Lost]:
-        may_have_left = False
+    ) -> Result[Answer, CallError]:
+        may_have_sent = False
 
         async def trace(event: str, _: Any) -> None:
-            nonlocal may_have_left
-            may_have_left = may_have_left or event.endswith(_FIRST_BYTE_EVENT)
+            nonlocal may_have_sent
+            may_have_sent = may_have_sent or event.endswith(_FIRST_BYTE_EVENT)
 
-        where = f"{address[0]}:{address[1]}"
+        location = f"{address[0]}:{address[1]}"
         problem = "no answer in time"
         with trio.move_on_after(limit_s + call.wait_s):
             try:
                 response = await self._pool.request(
                     call.method,
-                    f"http://{where}{call.target}",
-                    headers=[("Host", where), ("Content-Type", "application/json")],
+                    f"http://{location}{call.target}",
+                    headers=[("Host", location), ("Content-Type", "application/json")],
                     content=call.body,
                     extensions={
                         "trace": trace,
@@ -169,8 +171,8 @@
             else:
                 retry_after_s = _retry_after_s(response.headers)
                 return Ok(Answer(response.status, response.content, retry_after_s))
-        message = f"{call.method} {call.target} at {where}: {problem}"
-        return Err(OutcomeUnknown(message) if may_have_left else PlatformUnavailable(message))
+        message = f"{call.method} {call.target} at {location}: {problem}"
+        return Err(OutcomeUnknown(message) if may_have_sent else PlatformUnavailable(message))
 
 
 def _retry_after_s(headers: Sequence[tuple[bytes, bytes]]) -> float | None:
@@ -180,10 +182,10 @@
     return None
 
 
-def decoded(answer: Answer, wire_type: type[_T]) -> Result[_T, PlatformUnavailable]:
+def decode_answer(answer: Answer, wire_type: type[_T]) -> Result[_T, PlatformUnavailable]:
     """The body of an answer, by its type on the wire."""
     if answer.status // 100 != 2:
-        return Err(refused(answer))
+        return Err(refusal_error(answer))
     try:
         # Bytes that are no text stand in one object; as marks they make only that one unreadable.
         body = answer.body.decode(errors="replace")
@@ -192,7 +194,7 @@
         return Err(PlatformUnavailable(f"the platform's answer can't be read: {error}"))
 
 
-def refused(answer: Answer) -> PlatformUnavailable:
+def refusal_error(answer: Answer) -> PlatformUnavailable:
     """The error for an answer that is a refusal."""
     return PlatformUnavailable(
         f"the platform answered {answer.status}", retry_after_s=answer.retry_after_s
--- a/src/wagtailpoint/adapters/peer_dispatch.py
+++ b/src/wagtailpoint/adapters/peer_dispatch.py
@@ -21,7 +21,7 @@
 )
 
 
-class _Waiting:
+class _PendingRequest:
     """A request whose reply is awaited."""
 
     def __init__(self) -> None:
@@ -42,7 +42,7 @@
         self._clock = clock
         self._meter = Meter()
         self._handlers: dict[type[Message], Handler] = {}
-        self._waiting: dict[int, _Waiting] = {}
+        self._pending: dict[int, _PendingRequest] = {}
         self._numbers = count(1)
 
     @property
@@ -72,19 +72,19 @@
     ) -> Result[Any, PeerFailure]:
         """Send a message and wait for its reply."""
         number = next(self._numbers)
-        waiting = _Waiting()
-        self._waiting[number] = waiting
+        pending = _PendingRequest()
+        self._pending[number] = pending
         try:
             if not self._send(to, message, number=number, reply_to=0):
                 return Err(PeerFailure.NOT_SENT)
             with trio.move_on_after(timeout_s):
-                await waiting.arrived.wait()
-                self._answered(to)
-                return Ok(waiting.reply)
-            self._unanswered(to)
+                await pending.arrived.wait()
+                self._record_answer(to)
+                return Ok(pending.reply)
+            self._record_timeout(to)
             return Err(PeerFailure.TIMEOUT)
         finally:
-            del self._waiting[number]
+            del self._pending[number]
 
     async def run(self) -> None:
         """Receive until cancelled."""
@@ -93,10 +93,10 @@
     def _transmit(self, to: PeerAddress, data: bytes) -> bool:
         raise NotImplementedError
 
-    def _answered(self, to: PeerAddress) -> None:
+    def _record_answer(self, to: PeerAddress) -> None:
         """Take note that a request was answered."""
 
-    def _unanswered(self, to: PeerAddress) -> None:
+    def _record_timeout(self, to: PeerAddress) -> None:
         """Take note that a request was not answered in time."""
 
     def _send(self, to: PeerAddress, message: Message, *, number: int, reply_to: int) -> bool:
@@ -130,12 +130,12 @@
         self._call_handler(Received(sender, envelope.stamp, envelope.number, message))
 
     def _deliver_reply(self, number: int, message: Message) -> None:
-        waiting = self._waiting.get(number)
-        if waiting is None:
+        pending = self._pending.get(number)
+        if pending is None:
             self._meter.dropped("late-reply")
             return
-        waiting.reply = message
-        waiting.arrived.set()
+        pending.reply = message
+        pending.arrived.set()
 
     def _call_handler(self, received: Received) -> None:
         handler = self._handlers.get(type(received.message))
--- a/src/wagtailpoint/adapters/peers_nng.py
+++ b/src/wagtailpoint/adapters/peers_nng.py
@@ -13,10 +13,10 @@
 from wagtailpoint.ports.clock import Clock
 from wagtailpoint.ports.peers import MOST_MESSAGE_BYTES, PeerAddress
 
-LINK_BUFFER_MESSAGES = 64
-LINK_IDLE_S = 30.0
-UNANSWERED_BEFORE_REDIAL = 2
-DIALLING_S = 2.0
+MAX_QUEUED_MESSAGES = 64
+LINK_IDLE_TIMEOUT_S = 30.0
+MAX_UNANSWERED_REQUESTS = 2
+MIN_REDIAL_AGE_S = 2.0
 """A link so young may still be opening, and that of the answer after it: several round trips.
 Closed for the questions that were asked meanwhile, it would never open."""
 
@@ -43,7 +43,7 @@
     """A push socket to one address."""
 
     def __init__(self, *, to: PeerAddress, now: float) -> None:
-        self._socket = pynng.Push0(send_buffer_size=LINK_BUFFER_MESSAGES)
+        self._socket = pynng.Push0(send_buffer_size=MAX_QUEUED_MESSAGES)
         self._socket.reconnect_time_min = RECONNECT_MIN_MS
         self._socket.reconnect_time_max = RECONNECT_MAX_MS
         self._socket.dial(f"tcp://{to.address}:{to.port}", block=False)
@@ -108,30 +108,30 @@
         link.used_at = self._monotonic()
         return link.send(data)
 
-    def _answered(self, to: PeerAddress) -> None:
+    def _record_answer(self, to: PeerAddress) -> None:
         link = self._links.get((to.address, to.port))
         if link is not None:
             link.unanswered = 0
 
-    def _unanswered(self, to: PeerAddress) -> None:
+    def _record_timeout(self, to: PeerAddress) -> None:
         # A cut that drops packets leaves the connection open, and its retransmissions wait longer
         # and longer, up to two minutes: after a long cut the link would be mute that much longer
         # than the cut. A fresh connection finds out at once.
         key = (to.address, to.port)
         link = self._links.get(key)
-        if link is None or self._monotonic() - link.opened_at < DIALLING_S:
+        if link is None or self._monotonic() - link.opened_at < MIN_REDIAL_AGE_S:
             return
         link.unanswered += 1
-        if link.unanswered >= UNANSWERED_BEFORE_REDIAL:
+        if link.unanswered >= MAX_UNANSWERED_REQUESTS:
             link.close()
             del self._links[key]
 
     async def _close_unused(self) -> None:
         while True:
-            await trio.sleep(LINK_IDLE_S / 3)
-            oldest = self._monotonic() - LINK_IDLE_S
+            await trio.sleep(LINK_IDLE_TIMEOUT_S / 3)
+            idle_cutoff = self._monotonic() - LINK_IDLE_TIMEOUT_S
             for key, link in list(self._links.items()):
-                if link.used_at < oldest:
+                if link.used_at < idle_cutoff:
                     link.close()
                     del self._links[key]
 
--- a/src/wagtailpoint/adapters/platform_http.py
+++ b/src/wagtailpoint/adapters/platform_http.py
@@ -13,8 +13,8 @@
     Answer,
     Call,
     ObjectCalls,
-    decoded,
-    refused,
+    decode_answer,
+    refusal_error,
 )
 from wagtailpoint.errors import OutcomeUnknown, PlatformUnavailable, WatchTooOld
 from wagtailpoint.ports.platform import (
@@ -105,16 +105,20 @@
         if answer.status == HTTPStatus.NOT_FOUND and answer.body == b"null":
             return Ok(None)
         if answer.status != HTTPStatus.OK:
-            return Err(refused(answer))
-        return decoded(answer, _WireObject).and_then(lambda wire: _checked(wire, kind, name))
+            return Err(refusal_error(answer))
+        return decode_answer(answer, _WireObject).and_then(
+            lambda wire: _stored_object(wire, kind, name)
+        )
 
     async def list(
         self, *, kind: str, may_be_stale: bool = False
     ) -> Result[Listing, PlatformUnavailable]:
         """Read all objects of a kind; this store knows only its newest state."""
         outcome = await self._calls.read(Call("GET", f"/objects/{_quoted(kind)}"))
-        return outcome.and_then(lambda answer: decoded(answer, _WireListing)).map(
-            lambda wire: Listing(wire["version"], [StoredObject(**one) for one in wire["objects"]])
+        return outcome.and_then(lambda answer: decode_answer(answer, _WireListing)).map(
+            lambda wire: Listing(
+                wire["version"], [StoredObject(**entry) for entry in wire["objects"]]
+            )
         )
 
     async def put(
@@ -142,12 +146,12 @@
             return outcome
         if outcome.ok_value.status == HTTPStatus.GONE:
             return Err(WatchTooOld(f"no events since version {from_version}; list again"))
-        return decoded(outcome.ok_value, _WireBatch).map(
+        return decode_answer(outcome.ok_value, _WireBatch).map(
             lambda wire: WatchBatch(
                 wire["version"],
                 [
-                    WatchEvent(one["action"], StoredObject(**one["object"]))
-                    for one in wire["events"]
+                    WatchEvent(entry["action"], StoredObject(**entry["object"]))
+                    for entry in wire["events"]
                 ],
             )
         )
@@ -155,8 +159,8 @@
     async def instances(self) -> Result[Sequence[ListedInstance], PlatformUnavailable]:
         """Read the platform's list of live and leaving instances."""
         outcome = await self._calls.read(Call("GET", "/instances"))
-        return outcome.and_then(lambda answer: decoded(answer, _WireInstances)).map(
-            lambda wire: [ListedInstance(**one) for one in wire["instances"]]
+        return outcome.and_then(lambda answer: decode_answer(answer, _WireInstances)).map(
+            lambda wire: [ListedInstance(**entry) for entry in wire["instances"]]
         )
 
     async def _write(
@@ -168,8 +172,8 @@
         answer = outcome.ok_value
         if answer.status == HTTPStatus.CONFLICT:
             return _conflict(answer, kind, name)
-        written = decoded(answer, _WireWritten)
-        if isinstance(written, Ok) and _names(written.ok_value, kind, name):
+        written = decode_answer(answer, _WireWritten)
+        if isinstance(written, Ok) and _is_about(written.ok_value, kind, name):
             return written
         return Err(OutcomeUnknown(f"{call.method} {call.target}: {answer.status}, no clear answer"))
 
@@ -182,15 +186,15 @@
     return f"/objects/{_quoted(kind)}/{_quoted(name)}"
 
 
-def _names(wire: _WireObject | _WireWritten, kind: str, name: str) -> bool:
+def _is_about(wire: _WireObject | _WireWritten, kind: str, name: str) -> bool:
     """Whether an answer is about the object asked for; a crossed answer is not."""
     return (wire["kind"], wire["name"]) == (kind, name)
 
 
-def _checked(
+def _stored_object(
     wire: _WireObject, kind: str, name: str
 ) -> Result[StoredObject | None, PlatformUnavailable]:
-    if not _names(wire, kind, name):
+    if not _is_about(wire, kind, name):
         return Err(PlatformUnavailable(f"asked for {kind}/{name}, answered {wire['name']}"))
     return Ok(StoredObject(**wire))
 
@@ -202,6 +206,6 @@
         current = msgspec.json.decode(answer.body, type=_WireObject | None)
     except msgspec.DecodeError as error:
         return Err(OutcomeUnknown(f"the platform's conflict can't be read: {error}"))
-    if current is not None and not _names(current, kind, name):
+    if current is not None and not _is_about(current, kind, name):
         return Err(OutcomeUnknown(f"wrote {kind}/{name}, answered {current['name']}"))
     return Err(Conflict(StoredObject(**current) if current else None))
--- a/src/wagtailpoint/platform/store.py
+++ b/src/wagtailpoint/platform/store.py
@@ -12,7 +12,7 @@
     Answer,
     Call,
     ObjectCalls,
-    decoded,
+    decode_answer,
 )
 from wagtailpoint.errors import OutcomeUnknown, PlatformUnavailable, WatchTooOld
 from wagtailpoint.node_settings import Endpoint
@@ -91,7 +91,7 @@
             return outcome
         if outcome.ok_value.status == HTTPStatus.NOT_FOUND:
             return Ok(None)
-        return decoded(outcome.ok_value, _Object).map(lambda wire: _stored(kind, wire))
+        return decode_answer(outcome.ok_value, _Object).map(lambda wire: _stored(kind, wire))
 
     async def peek(self, *, kind: str, after: str) -> Result[Page, PlatformUnavailable]:
         """Read one page cheaply, of names after ``after``; it may be some seconds old."""
@@ -127,7 +127,7 @@
         fields = {"AllowStale": "1"} if may_be_stale else {}
         query = urlencode(fields | ({"after": after} if after else {}))
         outcome = await self._calls.read(Call("GET", f"{_path(kind)}?{query}".rstrip("?")))
-        answered = outcome.and_then(lambda answer: decoded(answer, _Items))
+        answered = outcome.and_then(lambda answer: decode_answer(answer, _Items))
         if isinstance(answered, Err):
             return answered
         wire = answered.ok_value
@@ -154,7 +154,7 @@
         outcome = await self._write(call, kind)
         if isinstance(outcome, Err):
             return outcome
-        written = decoded(outcome.ok_value, _Object)
+        written = decode_answer(outcome.ok_value, _Object)
         if isinstance(written, Err):
             return Err(OutcomeUnknown(str(written.err_value)))
         return Ok(_stored(kind, written.ok_value))
@@ -180,7 +180,7 @@
             return outcome
         if outcome.ok_value.status == HTTPStatus.GONE:
             return Err(WatchTooOld(f"no events since version {from_version}; list again"))
-        return decoded(outcome.ok_value, _Events).map(
+        return decode_answer(outcome.ok_value, _Events).map(
             lambda wire: WatchBatch(
                 wire.StoreRevision,
                 [
--- a/tests/cover/test_backend_http.py
+++ b/tests/cover/test_backend_http.py
@@ -43,7 +43,7 @@
     return plain._replace(**fields)
 
 
-class Bench:
+class ExchangeFixture:
     """A stand-in in this process and an adapter that talks to it."""
 
     def __init__(self, *, worker: Worker, server: BackendAddress, proxy: FaultProxy) -> None:
@@ -69,7 +69,7 @@
         return answered
 
 
-def run_with_standin(test: Callable[[Bench], Awaitable[None]]) -> None:
+def run_with_standin(test: Callable[[ExchangeFixture], Awaitable[None]]) -> None:
     async def run() -> None:
         worker, host = Worker(service_ms=1.0), loopback_address()
         proxy = FaultProxy(listen=Address(host, PROXY_PORT), target=Address(host, PORT))
@@ -77,7 +77,9 @@
             async with trio.open_nursery() as nursery:
                 await nursery.start(partial(serve_worker, worker, host, PORT))
                 await nursery.start(proxy.serve)
-                await test(Bench(worker=worker, server=BackendAddress(host, PORT), proxy=proxy))
+                await test(
+                    ExchangeFixture(worker=worker, server=BackendAddress(host, PORT), proxy=proxy)
+                )
                 nursery.cancel_scope.cancel()
 
     trio.run(run)
@@ -85,13 +87,13 @@
 
 class ExchangeTest(unittest.TestCase):
     def test_answer_and_reuse(self) -> None:
-        async def test(bench: Bench) -> None:
+        async def test(fixture: ExchangeFixture) -> None:
             for number in range(3):
-                answered = await bench.ask(request_of(f"r{number}"))
+                answered = await fixture.ask(request_of(f"r{number}"))
                 assert not isinstance(answered, BackendFailure)
                 self.assertEqual(answered[0].status, 200)
-            self.assertEqual(bench.backends.counts(bench.server), (1, 2, 1))
-            self.assertEqual(bench.worker.executions, {"r0": 1, "r1": 1, "r2": 1})
+            self.assertEqual(fixture.backends.counts(fixture.server), (1, 2, 1))
+            self.assertEqual(fixture.worker.executions, {"r0": 1, "r1": 1, "r2": 1})
 
         run_with_standin(test)
 
@@ -100,37 +102,37 @@
             for _ in range(40):
                 yield b"x" * 10_000
 
-        async def test(bench: Bench) -> None:
-            answered = await bench.ask(request_of("up", body=chunks(), target="/bulk/300000"))
+        async def test(fixture: ExchangeFixture) -> None:
+            answered = await fixture.ask(request_of("up", body=chunks(), target="/bulk/300000"))
             assert not isinstance(answered, BackendFailure)
             self.assertEqual(answered[1], bulk_bytes(0, 300_000))
-            self.assertEqual(bench.worker.arrivals[0]["body_bytes"], 400_000)
+            self.assertEqual(fixture.worker.arrivals[0]["body_bytes"], 400_000)
 
         run_with_standin(test)
 
     def test_deadline_is_passed_on_reduced_and_hop_by_hop_headers_are_not(self) -> None:
-        async def test(bench: Bench) -> None:
+        async def test(fixture: ExchangeFixture) -> None:
             headers = [
                 (b"Connection", b"close, x-mine"),
                 (b"X-Mine", b"1"),
                 (b"Range", b"bytes=5-9"),
             ]
-            answered = await bench.ask(request_of("a", target="/bulk/100", headers=headers))
+            answered = await fixture.ask(request_of("a", target="/bulk/100", headers=headers))
             assert not isinstance(answered, BackendFailure)
             self.assertEqual((answered[0].status, answered[1]), (206, bulk_bytes(5, 10)))
-            passed_on: Any = bench.worker.arrivals[0]["deadline_s"]
+            passed_on: Any = fixture.worker.arrivals[0]["deadline_s"]
             self.assertLess(passed_on, 10.0)
-            self.assertEqual(bench.backends.counts(bench.server).idle, 1)
+            self.assertEqual(fixture.backends.counts(fixture.server).idle, 1)
 
         run_with_standin(test)
 
     def test_probe(self) -> None:
-        async def test(bench: Bench) -> None:
-            bench.worker.mode = Mode(report={"queued": 7}, draining=True)
-            report = (await bench.backends.probe(bench.server, timeout_s=5)).unwrap()
+        async def test(fixture: ExchangeFixture) -> None:
+            fixture.worker.mode = Mode(report={"queued": 7}, draining=True)
+            report = (await fixture.backends.probe(fixture.server, timeout_s=5)).unwrap()
             self.assertEqual(report, (0, 7, 3, True, True))
-            bench.worker.mode = Mode(report={"busy": "many"})
-            answered = await bench.backends.probe(bench.server, timeout_s=5)
+            fixture.worker.mode = Mode(report={"busy": "many"})
+            answered = await fixture.backends.probe(fixture.server, timeout_s=5)
             self.assertEqual(answered.unwrap_err().reason, FailureReason.BAD_RESPONSE)
 
         run_with_standin(test)
@@ -138,13 +140,13 @@
 
 class VerdictOfExchangeTest(unittest.TestCase):
     def _check(self, mode: Mode, verdict: Verdict, reason: FailureReason, ran: int) -> None:
-        async def test(bench: Bench) -> None:
-            bench.worker.mode = mode
-            failure = await bench.failure(request_of("r", deadline_s=0.3))
+        async def test(fixture: ExchangeFixture) -> None:
+            fixture.worker.mode = mode
+            failure = await fixture.failure(request_of("r", deadline_s=0.3))
             self.assertEqual((failure.verdict, failure.reason), (verdict, reason))
-            self.assertEqual(bench.worker.by_key["r"], ran)
+            self.assertEqual(fixture.worker.by_key["r"], ran)
             idle = 1 if failure.shed else 0
-            self.assertEqual(bench.backends.counts(bench.server).idle, idle)
+            self.assertEqual(fixture.backends.counts(fixture.server).idle, idle)
 
         run_with_standin(test)
 
@@ -196,33 +198,33 @@
     def test_bare_503_is_a_response(self) -> None:
         """A 503 that does not say "not run" may come after the run."""
 
-        async def test(bench: Bench) -> None:
-            bench.worker.mode = Mode(bare_503=1)
-            answered = await bench.ask(request_of("r"))
+        async def test(fixture: ExchangeFixture) -> None:
+            fixture.worker.mode = Mode(bare_503=1)
+            answered = await fixture.ask(request_of("r"))
             assert not isinstance(answered, BackendFailure)
             self.assertEqual(answered[0].status, 503)
-            self.assertEqual(bench.worker.by_key["r"], 1)
+            self.assertEqual(fixture.worker.by_key["r"], 1)
 
         run_with_standin(test)
 
     def test_truncated_body(self) -> None:
         """A certificate ends one byte early, or half-way, and must not look whole."""
 
-        async def test(bench: Bench) -> None:
+        async def test(fixture: ExchangeFixture) -> None:
             for mode in (Mode(short_body=1), Mode(die_in_body=1)):
-                bench.worker.mode = mode
+                fixture.worker.mode = mode
                 with self.assertRaises(BodyBroken):
-                    await bench.ask(request_of("r", target="/bulk/100000"))
-                self.assertEqual(bench.backends.counts(bench.server).idle, 0)
+                    await fixture.ask(request_of("r", target="/bulk/100000"))
+                self.assertEqual(fixture.backends.counts(fixture.server).idle, 0)
 
         run_with_standin(test)
 
     def test_shed_answer_of_another_request(self) -> None:
         """A shed answer without our id may be another request's, while ours runs."""
 
-        async def test(bench: Bench) -> None:
-            bench.worker.mode = Mode(draining=True, no_id=1)
-            failure = await bench.failure(request_of("r", echoes_request_id=False))
+        async def test(fixture: ExchangeFixture) -> None:
+            fixture.worker.mode = Mode(draining=True, no_id=1)
+            failure = await fixture.failure(request_of("r", echoes_request_id=False))
             self.assertEqual((failure.verdict, failure.shed), (Verdict.MAY_HAVE_RUN, True))
 
         run_with_standin(test)
@@ -236,12 +238,12 @@
         read as the answer to the next request on that connection.
         """
 
-        async def test(bench: Bench) -> None:
-            bench.worker.mode = Mode(slow=1e6, deaf=True)
+        async def test(fixture: ExchangeFixture) -> None:
+            fixture.worker.mode = Mode(slow=1e6, deaf=True)
             with trio.move_on_after(0.1):
-                await bench.ask(request_of("given-up", echoes_request_id=False))
-            self.assertEqual(bench.backends.counts(bench.server).idle, 0)
-            self.assertEqual(bench.worker.by_key["given-up"], 1)
+                await fixture.ask(request_of("given-up", echoes_request_id=False))
+            self.assertEqual(fixture.backends.counts(fixture.server).idle, 0)
+            self.assertEqual(fixture.worker.by_key["given-up"], 1)
 
         run_with_standin(test)
 
@@ -252,11 +254,11 @@
         that nobody looked at any more.
         """
 
-        async def test(bench: Bench) -> None:
+        async def test(fixture: ExchangeFixture) -> None:
             request = request_of("r", target="/bulk/1000000")
-            pool = bench.backends._pool(bench.server)
-            async with bench.backends.exchange(bench.server, request) as answered:
-                await bench.backends.close(bench.server)
+            pool = fixture.backends._pool(fixture.server)
+            async with fixture.backends.exchange(fixture.server, request) as answered:
+                await fixture.backends.close(fixture.server)
                 body = b"".join([chunk async for chunk in answered.unwrap().body])
             self.assertEqual(body, bulk_bytes(0, 1_000_000))
             self.assertEqual((pool.opened, pool.idle), (1, 0))
@@ -266,14 +268,14 @@
     def test_body_left_unread_closes_its_connection(self) -> None:
         """A download is given up half-way; its rest must not be read by the next request."""
 
-        async def test(bench: Bench) -> None:
+        async def test(fixture: ExchangeFixture) -> None:
             request = request_of("r", target="/bulk/1000000")
-            async with bench.backends.exchange(bench.server, request) as answered:
+            async with fixture.backends.exchange(fixture.server, request) as answered:
                 body = answered.unwrap().body
                 await anext(aiter(body))
             with self.assertRaises(BodyBroken):
                 await anext(aiter(body))
-            self.assertEqual(bench.backends.counts(bench.server).idle, 0)
+            self.assertEqual(fixture.backends.counts(fixture.server).idle, 0)
 
         run_with_standin(test)
 
@@ -291,18 +293,18 @@
                 async for _ in stream:
                     await stream.send_all(answer + b"right" + answer + b"other")
 
-        async def test(bench: Bench) -> None:
+        async def test(fixture: ExchangeFixture) -> None:
             async with trio.open_nursery() as nursery:
-                server = bench.server._replace(port=OTHER_PORT)
+                server = fixture.server._replace(port=OTHER_PORT)
                 await nursery.start(
                     partial(trio.serve_tcp, serve, server.port, host=server.address)
                 )
                 for request_id in ("a", "b", "c"):
                     request = request_of(request_id, echoes_request_id=False, idempotent=True)
-                    answered = await bench.ask(request, server)
+                    answered = await fixture.ask(request, server)
                     assert not isinstance(answered, BackendFailure)
                     self.assertEqual(answered[1], b"right")
-                self.assertEqual(bench.backends.counts(server), (3, 0, 0))
+                self.assertEqual(fixture.backends.counts(server), (3, 0, 0))
                 nursery.cancel_scope.cancel()
 
         run_with_standin(test)
@@ -310,43 +312,43 @@
     def test_crossed_connections(self) -> None:
         """Two answers change places on their way: neither may reach a caller."""
 
-        async def test(bench: Bench) -> None:
-            await bench.proxy.cross_answers()
+        async def test(fixture: ExchangeFixture) -> None:
+            await fixture.proxy.cross_answers()
             failures: list[object] = []
 
             async def ask(request_id: str) -> None:
-                failures.append(await bench.ask(request_of(request_id), bench.proxied))
+                failures.append(await fixture.ask(request_of(request_id), fixture.proxied))
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(ask, "a")
                 nursery.start_soon(ask, "b")
             crossed = BackendFailure(Verdict.MAY_HAVE_RUN, FailureReason.CROSSED_ANSWER)
             self.assertEqual(failures, [crossed, crossed])
-            self.assertEqual(bench.worker.by_key, {"a": 1, "b": 1})
+            self.assertEqual(fixture.worker.by_key, {"a": 1, "b": 1})
 
         run_with_standin(test)
 
     def test_dropped_answer(self) -> None:
         """The request passes, its answer is lost with the connection."""
 
-        async def test(bench: Bench) -> None:
-            await bench.proxy.drop_answers(times=1)
-            failure = await bench.ask(request_of("r"), bench.proxied)
+        async def test(fixture: ExchangeFixture) -> None:
+            await fixture.proxy.drop_answers(times=1)
+            failure = await fixture.ask(request_of("r"), fixture.proxied)
             reset = BackendFailure(Verdict.MAY_HAVE_RUN, FailureReason.RESET)
-            self.assertEqual((failure, bench.worker.by_key["r"]), (reset, 1))
+            self.assertEqual((failure, fixture.worker.by_key["r"]), (reset, 1))
 
         run_with_standin(test)
 
     def test_late_answer(self) -> None:
         """The answer comes after the deadline; the next request gets its own answer."""
 
-        async def test(bench: Bench) -> None:
-            await bench.proxy.freeze()
-            failure = await bench.ask(request_of("late", deadline_s=0.2), bench.proxied)
+        async def test(fixture: ExchangeFixture) -> None:
+            await fixture.proxy.freeze()
+            failure = await fixture.ask(request_of("late", deadline_s=0.2), fixture.proxied)
             timeout = BackendFailure(Verdict.MAY_HAVE_RUN, FailureReason.TIMEOUT)
             self.assertEqual(failure, timeout)
-            await bench.proxy.pass_through()
-            answered = await bench.ask(request_of("next"), bench.proxied)
+            await fixture.proxy.pass_through()
+            answered = await fixture.ask(request_of("next"), fixture.proxied)
             assert not isinstance(answered, BackendFailure)
             self.assertIn(b'"next"', answered[1])
 
@@ -355,16 +357,16 @@
     def test_stalled_body(self) -> None:
         """A backend server freezes within a download; its slot must not be held forever."""
 
-        async def test(bench: Bench) -> None:
+        async def test(fixture: ExchangeFixture) -> None:
             request = request_of("r", target="/bulk/9000000")
-            async with bench.backends.exchange(bench.proxied, request) as answered:
+            async with fixture.backends.exchange(fixture.proxied, request) as answered:
                 body = aiter(answered.unwrap().body)
                 await anext(body)
-                await bench.proxy.freeze()
+                await fixture.proxy.freeze()
                 with self.assertRaises(BodyBroken):
                     while True:
                         await anext(body)
-            await bench.proxy.pass_through()
+            await fixture.proxy.pass_through()
 
         run_with_standin(test)
 
@@ -375,11 +377,11 @@
         close arrives, and its reset can't be told from one after the run.
         """
 
-        async def test(bench: Bench) -> None:
-            bench.worker.mode = Mode(idle_close_s=0.0)
-            await bench.proxy.delay(0.02)
-            answers = [await bench.ask(request_of(f"r{i}"), bench.proxied) for i in range(20)]
-            failures = [each for each in answers if isinstance(each, BackendFailure)]
+        async def test(fixture: ExchangeFixture) -> None:
+            fixture.worker.mode = Mode(idle_close_s=0.0)
+            await fixture.proxy.delay(0.02)
+            answers = [await fixture.ask(request_of(f"r{i}"), fixture.proxied) for i in range(20)]
+            failures = [answer for answer in answers if isinstance(answer, BackendFailure)]
             self.assertLessEqual(len(failures), 5)
             for failure in failures:
                 self.assertEqual(failure.verdict, Verdict.MAY_HAVE_RUN)
@@ -387,13 +389,13 @@
         run_with_standin(test)
 
     def test_rested_connection_is_not_used_for_a_release(self) -> None:
-        async def test(bench: Bench) -> None:
-            await bench.ask(request_of("a"))
-            pool = bench.backends._pool(bench.server)
-            pool._idle[-1].rested_since -= SAFE_IDLE_S + 0.1
-            await bench.ask(request_of("b"))
-            self.assertEqual(bench.backends.counts(bench.server), (2, 0, 2))
-            await bench.ask(request_of("c", idempotent=True))
-            self.assertEqual(bench.backends.counts(bench.server), (2, 1, 2))
+        async def test(fixture: ExchangeFixture) -> None:
+            await fixture.ask(request_of("a"))
+            pool = fixture.backends._pool(fixture.server)
+            pool._idle[-1].idle_since -= SAFE_IDLE_S + 0.1
+            await fixture.ask(request_of("b"))
+            self.assertEqual(fixture.backends.counts(fixture.server), (2, 0, 2))
+            await fixture.ask(request_of("c", idempotent=True))
+            self.assertEqual(fixture.backends.counts(fixture.server), (2, 1, 2))
 
         run_with_standin(test)
--- a/tests/cover/test_http_server.py
+++ b/tests/cover/test_http_server.py
@@ -25,7 +25,7 @@
 class HttpServerTest(unittest.TestCase):
     leaving = False
 
-    def serve(self, handler: Handler, use: Callable[[], Awaitable[None]]) -> None:
+    def serve(self, handler: Handler, client_script: Callable[[], Awaitable[None]]) -> None:
         """Run a server, use it, stop it; the stop has to end by itself."""
         self.address = loopback_address()
         self.stop = trio.Event()
@@ -52,7 +52,7 @@
                         await server.run(stop=self.stop.wait, task_status=task_status)
 
                     await nursery.start(serve)
-                    await use()
+                    await client_script()
                     self.stop.set()
 
         trio.run(run)
@@ -68,7 +68,7 @@
             await reply.begin(status=200, headers=TEN_BYTES, verdict=Verdict.RAN)
             await reply.send(b"0123456789")
 
-        async def use() -> None:
+        async def client_script() -> None:
             async with await trio.open_tcp_stream(self.address, PORT) as stream:
                 await trio.sleep(0.1)
                 self.stop.set()
@@ -78,7 +78,7 @@
             self.assertTrue(answer.startswith(b"HTTP/1.1 200"), answer)
 
         self.leaving = True
-        self.serve(handler, use)
+        self.serve(handler, client_script)
 
     def test_connections_that_wait_in_the_kernel_at_the_end_are_still_answered(self) -> None:
         """Symptom: beside load, one of a hundred requests in a planned stop is told `may-have-run`.
@@ -91,7 +91,7 @@
             await reply.begin(status=200, headers=TEN_BYTES, verdict=Verdict.RAN)
             await reply.send(b"0123456789")
 
-        async def use() -> None:
+        async def client_script() -> None:
             callers = []
             for _ in range(5):
                 # Without an await in between: the server's task gets no turn.
@@ -106,7 +106,7 @@
                 self.assertTrue(answer.startswith(b"HTTP/1.1 200"), answer)
 
         self.leaving = True
-        self.serve(handler, use)
+        self.serve(handler, client_script)
 
     async def ask(self, request: bytes) -> bytes:
         """Everything that comes until the connection ends; a reset is an error."""
@@ -124,14 +124,14 @@
             await reply.begin(status=status, headers=[], verdict=Verdict.RAN)
             await reply.send(b"no such body")
 
-        async def use() -> None:
+        async def client_script() -> None:
             for status in (b"204", b"304"):
-                one = b"GET /" + status + b" HTTP/1.1\r\nHost: e\r\n"
-                data = await self.ask(one + b"\r\n" + one + b"Connection: close\r\n\r\n")
+                head = b"GET /" + status + b" HTTP/1.1\r\nHost: e\r\n"
+                data = await self.ask(head + b"\r\n" + head + b"Connection: close\r\n\r\n")
                 self.assertEqual(data.count(b"HTTP/1.1 " + status), 2)
                 self.assertNotIn(b"no such body", data)
 
-        self.serve(handler, use)
+        self.serve(handler, client_script)
 
     def test_broken_reply_never_looks_whole(self) -> None:
         """A reply that broke off is cut so that its caller notices.
@@ -147,7 +147,7 @@
             await reply.send(b"short")
             raise BodyBroken("test")
 
-        async def use() -> None:
+        async def client_script() -> None:
             data = await self.ask(b"GET /length HTTP/1.1\r\nHost: e\r\n\r\n")
             self.assertTrue(data.endswith(b"\r\n\r\nshort"), data)
             data = await self.ask(GET)
@@ -156,13 +156,13 @@
             with self.assertRaises(trio.BrokenResourceError):
                 await self.ask(b"GET / HTTP/1.0\r\n\r\n")
 
-        self.serve(handler, use)
+        self.serve(handler, client_script)
 
     def test_fault_of_a_handler_is_answered_and_ends_nothing_else(self) -> None:
         async def handler(request: CallerRequest, reply: AsgiReply) -> None:
             raise ZeroDivisionError("test")
 
-        async def use() -> None:
+        async def client_script() -> None:
             for _ in range(2):
                 data = await self.ask(GET.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
                 self.assertTrue(data.startswith(b"HTTP/1.1 500"), data)
@@ -170,7 +170,7 @@
                 self.assertEqual(value["code"], "internal-error")
                 self.assertEqual(value["verdict"], "may-have-run")
 
-        self.serve(handler, use)
+        self.serve(handler, client_script)
 
     def test_malformed_rest_of_a_body_is_not_called_not_run(self) -> None:
         """A request that the application already has may run, whatever its last bytes are.
@@ -185,13 +185,13 @@
             async for _ in request.body:
                 pass
 
-        async def use() -> None:
+        async def client_script() -> None:
             headers = b"POST / HTTP/1.1\r\nHost: e\r\nTransfer-Encoding: chunked\r\n\r\n"
             data = await self.ask(headers + b"1\r\nx\r\nnonsense\r\n")
             self.assertTrue(data.startswith(b"HTTP/1.1 400"), data)
             self.assertIn(b"wagtailpoint-verdict: may-have-run", data.lower())
 
-        self.serve(handler, use)
+        self.serve(handler, client_script)
 
     def test_leaving_instance_ends_the_connection_with_the_reply(self) -> None:
         """A caller does not send its next request to an instance that is just closing.
@@ -206,14 +206,14 @@
             await reply.begin(status=200, headers=[*TEN_BYTES, date], verdict=Verdict.RAN)
             await reply.send(b"0123456789")
 
-        async def use() -> None:
+        async def client_script() -> None:
             self.leaving = True
             data = await self.ask(GET + GET)
             self.assertEqual(data.count(b"HTTP/1.1 200"), 1)
             self.assertIn(b"connection: close", data.lower())
             self.assertEqual(data.lower().count(b"\r\ndate: "), 1)
 
-        self.serve(handler, use)
+        self.serve(handler, client_script)
 
     def test_stop_ends_idle_connections_and_finishes_replies(self) -> None:
         async def handler(request: CallerRequest, reply: AsgiReply) -> None:
@@ -222,10 +222,10 @@
             await trio.sleep(0.05)
             await reply.send(b"0123456789")
 
-        async def use() -> None:
+        async def client_script() -> None:
             idle = await trio.open_tcp_stream(self.address, PORT)
             data = await self.ask(GET)
             self.assertTrue(data.endswith(b"0123456789"), data)
             self.assertEqual(await idle.receive_some(), b"")
 
-        self.serve(handler, use)
+        self.serve(handler, client_script)
--- a/tests/cover/test_peers.py
+++ b/tests/cover/test_peers.py
@@ -11,7 +11,7 @@
 from tests.common.fake_clock import FakeClock
 from tests.common.fake_peers import FakeNetwork, FakePeers
 from wagtailpoint.adapters.clock import SystemClock
-from wagtailpoint.adapters.peers_nng import DIALLING_S, UNANSWERED_BEFORE_REDIAL, NngPeers
+from wagtailpoint.adapters.peers_nng import MAX_UNANSWERED_REQUESTS, MIN_REDIAL_AGE_S, NngPeers
 from wagtailpoint.observe.hlc import HybridClock
 from wagtailpoint.ports.clock import Clock
 from wagtailpoint.ports.peers import (
@@ -46,41 +46,41 @@
 
 
 class MessagesInMemoryTest(unittest.TestCase):
-    def run_pair(self, story) -> None:
+    def run_pair(self, scenario) -> None:
         async def main() -> None:
             network = FakeNetwork()
-            one, other = (
+            first, second = (
                 FakePeers(network=network, address=PeerAddress(f"127.0.0.{n}", 7000, n))
                 for n in (1, 2)
             )
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(one.run)
-                nursery.start_soon(other.run)
+                nursery.start_soon(first.run)
+                nursery.start_soon(second.run)
                 await trio.testing.wait_all_tasks_blocked()
                 with trio.fail_after(30):
-                    await story(network, one, other)
+                    await scenario(network, first, second)
                 nursery.cancel_scope.cancel()
 
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
     def test_request_and_reply(self) -> None:
-        async def story(network: FakeNetwork, one: Peers, other: Peers) -> None:
-            other.handle(Question, answer)
-            reply = await one.request(other.address, Question("ja"), timeout_s=1)
+        async def scenario(network: FakeNetwork, first: Peers, second: Peers) -> None:
+            second.handle(Question, answer)
+            reply = await first.request(second.address, Question("ja"), timeout_s=1)
             self.assertEqual(reply, Ok(Answer("JA")))
-            self.assertEqual(one.counts.sent["test-question"].messages, 1)
-            self.assertEqual(other.counts.received["test-question"].messages, 1)
+            self.assertEqual(first.counts.sent["test-question"].messages, 1)
+            self.assertEqual(second.counts.received["test-question"].messages, 1)
 
-        self.run_pair(story)
+        self.run_pair(scenario)
 
     def test_cut_link_is_a_timeout(self) -> None:
-        async def story(network: FakeNetwork, one: Peers, other: Peers) -> None:
+        async def scenario(network: FakeNetwork, first: Peers, second: Peers) -> None:
             network.cut(["127.0.0.2"], ["127.0.0.1"])
-            other.handle(Question, answer)
-            reply = await one.request(other.address, Question("ja"), timeout_s=1)
+            second.handle(Question, answer)
+            reply = await first.request(second.address, Question("ja"), timeout_s=1)
             self.assertEqual(reply, Err(PeerFailure.TIMEOUT))
 
-        self.run_pair(story)
+        self.run_pair(scenario)
 
     def test_message_for_the_former_process_is_dropped(self) -> None:
         """A restarted instance acts on a message that was meant for the process before it.
@@ -90,14 +90,14 @@
         a process.
         """
 
-        async def story(network: FakeNetwork, one: Peers, other: Peers) -> None:
-            other.handle(Question, answer)
-            former = other.address._replace(incarnation=77)
-            reply = await one.request(former, Question("ja"), timeout_s=1)
+        async def scenario(network: FakeNetwork, first: Peers, second: Peers) -> None:
+            second.handle(Question, answer)
+            previous = second.address._replace(incarnation=77)
+            reply = await first.request(previous, Question("ja"), timeout_s=1)
             self.assertEqual(reply, Err(PeerFailure.TIMEOUT))
-            self.assertEqual(other.counts.dropped, {"other-incarnation": 1})
+            self.assertEqual(second.counts.dropped, {"other-incarnation": 1})
 
-        self.run_pair(story)
+        self.run_pair(scenario)
 
     def test_what_cannot_be_understood_is_counted_and_ignored(self) -> None:
         """An instance of another version, or a stray program, ends the receiving task.
@@ -109,26 +109,28 @@
         def fail(received: Received) -> None:
             raise RuntimeError("a fault of a handler")
 
-        async def story(network: FakeNetwork, one: Peers, other: Peers) -> None:
-            other.handle(Question, answer)
-            other.handle(Answer, fail)
+        async def scenario(network: FakeNetwork, first: Peers, second: Peers) -> None:
+            second.handle(Question, answer)
+            second.handle(Answer, fail)
             for data in (b"", b"\xc1\xff", b"GET / HTTP/1.1\r\n\r\n", b"\x99" + b"\xff" * 20):
-                network.carry("127.0.0.1", other.address, data)
-            one.send(other.address, Unheard(1))
-            one.send(other.address, Answer("x"))
-            self.assertTrue((await one.request(other.address, Question("a"), timeout_s=1)).is_ok())
+                network.carry("127.0.0.1", second.address, data)
+            first.send(second.address, Unheard(1))
+            first.send(second.address, Answer("x"))
+            self.assertTrue(
+                (await first.request(second.address, Question("a"), timeout_s=1)).is_ok()
+            )
             self.assertEqual(
-                other.counts.dropped, {"undecodable": 4, "no-handler": 1, "handler-failed": 1}
+                second.counts.dropped, {"undecodable": 4, "no-handler": 1, "handler-failed": 1}
             )
 
-        self.run_pair(story)
+        self.run_pair(scenario)
 
     def test_oversized_message_is_refused_here(self) -> None:
-        async def story(network: FakeNetwork, one: Peers, other: Peers) -> None:
-            self.assertFalse(one.send(other.address, Question("x" * MOST_MESSAGE_BYTES)))
-            self.assertEqual(one.counts.dropped, {"too-large": 1})
+        async def scenario(network: FakeNetwork, first: Peers, second: Peers) -> None:
+            self.assertFalse(first.send(second.address, Question("x" * MOST_MESSAGE_BYTES)))
+            self.assertEqual(first.counts.dropped, {"too-large": 1})
 
-        self.run_pair(story)
+        self.run_pair(scenario)
 
     def test_one_kind_for_each_type(self) -> None:
         with self.assertRaisesRegex(ValueError, "expected one message type"):
@@ -152,16 +154,18 @@
 
     def test_request_reaches_a_peer_that_starts_later(self) -> None:
         async def main() -> None:
-            one, other = self.make(1), self.make(2)
-            other.handle(Question, answer)
+            first, second = self.make(1), self.make(2)
+            second.handle(Question, answer)
             with trio.fail_after(30):
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(one.run)
-                    self.assertTrue(one.send(other.address, Question("early")))
-                    nursery.start_soon(other.run)
-                    while (await one.request(other.address, Question("a"), timeout_s=0.5)).is_err():
+                    nursery.start_soon(first.run)
+                    self.assertTrue(first.send(second.address, Question("early")))
+                    nursery.start_soon(second.run)
+                    while (
+                        await first.request(second.address, Question("a"), timeout_s=0.5)
+                    ).is_err():
                         pass
-                    self.assertEqual(one.open_links, 1)
+                    self.assertEqual(first.open_links, 1)
                     nursery.cancel_scope.cancel()
 
         trio.run(main)
@@ -171,18 +175,18 @@
 
         async def main() -> None:
             clock = FakeClock()
-            one = self.make(1, clock=clock)
+            first = self.make(1, clock=clock)
             nobody = PeerAddress(f"{self.prefix}.9", 7400)
 
-            async def ask() -> None:
-                await one.request(nobody, Question("x"), timeout_s=0.01)
+            async def call_platform() -> None:
+                await first.request(nobody, Question("x"), timeout_s=0.01)
 
-            for left in (1, 0):
+            for expected_links in (1, 0):
                 async with trio.open_nursery() as nursery:
-                    for _ in range(UNANSWERED_BEFORE_REDIAL):
-                        nursery.start_soon(ask)
-                self.assertEqual(one.open_links, left)
-                clock.now += DIALLING_S
+                    for _ in range(MAX_UNANSWERED_REQUESTS):
+                        nursery.start_soon(call_platform)
+                self.assertEqual(first.open_links, expected_links)
+                clock.now += MIN_REDIAL_AGE_S
 
         trio.run(main)
 
@@ -194,10 +198,10 @@
         """
 
         async def main() -> None:
-            one = self.make(1)
+            first = self.make(1)
             nobody = PeerAddress(f"{self.prefix}.9", 7400)
-            sent = [one.send(nobody, Question("x")) for _ in range(200)]
+            sent = [first.send(nobody, Question("x")) for _ in range(200)]
             self.assertIn(False, sent)
-            self.assertEqual(one.counts.dropped["link-full"], sent.count(False))
+            self.assertEqual(first.counts.dropped["link-full"], sent.count(False))
 
         trio.run(main)
--- a/tests/cover/test_platform_http.py
+++ b/tests/cover/test_platform_http.py
@@ -26,7 +26,7 @@
     return f"HTTP/1.1 {status} X\r\nContent-Length: {length}\r\n{headers}\r\n".encode() + body
 
 
-class Scripted:
+class ScriptedServer:
     """A server that gives each connection one answer and closes it."""
 
     def __init__(self, answer: bytes) -> None:
@@ -52,7 +52,7 @@
                 pass
 
 
-def ask(servers: list[Scripted], call: Callable[[HttpPlatform], Awaitable[T]]) -> T:
+def call_platform(servers: list[ScriptedServer], call: Callable[[HttpPlatform], Awaitable[T]]) -> T:
     async def run() -> T:
         with trio.fail_after(LIMIT_S):
             async with trio.open_nursery() as nursery:
@@ -97,24 +97,30 @@
             b"",
         ):
             with self.subTest(answer=answer):
-                servers = [Scripted(answer), Scripted(http(200, WRITTEN))]
-                self.assertIsInstance(ask(servers, put).unwrap_err(), OutcomeUnknown)
+                servers = [ScriptedServer(answer), ScriptedServer(http(200, WRITTEN))]
+                self.assertIsInstance(call_platform(servers, put).unwrap_err(), OutcomeUnknown)
                 self.assertEqual([server.requests for server in servers], [1, 0])
 
     def test_clear_answers(self) -> None:
         stored = StoredObject("thing", "x", 7, [1])
-        self.assertEqual(ask([Scripted(http(200, WRITTEN))], put).unwrap(), stored)
-        self.assertEqual(ask([Scripted(http(409, OBJECT))], put).unwrap_err(), Conflict(stored))
-        self.assertEqual(ask([Scripted(http(409, b"null"))], put).unwrap_err(), Conflict(None))
+        self.assertEqual(call_platform([ScriptedServer(http(200, WRITTEN))], put).unwrap(), stored)
+        self.assertEqual(
+            call_platform([ScriptedServer(http(409, OBJECT))], put).unwrap_err(), Conflict(stored)
+        )
+        self.assertEqual(
+            call_platform([ScriptedServer(http(409, b"null"))], put).unwrap_err(), Conflict(None)
+        )
         for status in (400, 413, 429, 503):
-            refused = ask([Scripted(http(status, b"", headers="Retry-After: 3\r\n"))], put)
+            refused = call_platform(
+                [ScriptedServer(http(status, b"", headers="Retry-After: 3\r\n"))], put
+            )
             error = refused.unwrap_err()
             assert isinstance(error, PlatformUnavailable)
             self.assertEqual(error.retry_after_s, 3.0)
 
     def test_a_server_that_refuses_is_passed_over(self) -> None:
-        servers = [Scripted(http(503, b"")), Scripted(http(200, WRITTEN))]
-        self.assertTrue(ask(servers, put).is_ok())
+        servers = [ScriptedServer(http(503, b"")), ScriptedServer(http(200, WRITTEN))]
+        self.assertTrue(call_platform(servers, put).is_ok())
 
 
 class ReadTest(unittest.TestCase):
@@ -127,10 +133,10 @@
         for answer in (http(404, b"<html>"), http(200, CROSSED), http(200, b"{}"), b""):
             with self.subTest(answer=answer):
                 self.assertIsInstance(
-                    ask([Scripted(answer)], get).unwrap_err(), PlatformUnavailable
+                    call_platform([ScriptedServer(answer)], get).unwrap_err(), PlatformUnavailable
                 )
-        self.assertIsNone(ask([Scripted(http(404, b"null"))], get).unwrap())
+        self.assertIsNone(call_platform([ScriptedServer(http(404, b"null"))], get).unwrap())
 
     def test_a_broken_read_is_asked_again_elsewhere(self) -> None:
-        servers = [Scripted(b""), Scripted(http(200, OBJECT))]
-        self.assertEqual(ask(servers, get).unwrap(), StoredObject("thing", "x", 7, [1]))
+        servers = [ScriptedServer(b""), ScriptedServer(http(200, OBJECT))]
+        self.assertEqual(call_platform(servers, get).unwrap(), StoredObject("thing", "x", 7, [1]))
