--- a/src/wagtailpoint/adapters/__init__.py
+++ b/src/wagtailpoint/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""The implementations of the ports on top of libraries."""
+"""Implementations of the ports, based on third-party libraries."""
--- a/src/wagtailpoint/adapters/backend_headers.py
+++ b/src/wagtailpoint/adapters/backend_headers.py
@@ -1,4 +1,4 @@
-"""The headers of an exchange: what is passed on, what is added, what an answer says of itself."""
+"""Headers of an exchange with a backend server: forwarding, additions, and response metadata."""
 
 from collections.abc import Iterable
 
@@ -12,20 +12,20 @@
 SHED_NOT_RUN = b"not-run"
 
 RETURN_ALLOWANCE_S = 0.005
-"""Taken off the deadline that is passed on, in seconds, so that an answer made in the last moment
-still arrives in time."""
+"""Subtracted from the forwarded deadline, in seconds, so that a response sent just before the
+deadline still arrives in time."""
 
 OWN_REQUEST_HEADERS = frozenset((REQUEST_ID_HEADER, DEADLINE_HEADER, b"expect"))
-"""Made new for each exchange, or, for ``Expect``, answered by the entry itself."""
+"""Not forwarded: set anew for each exchange, or, as ``Expect``, handled by the entry itself."""
 
 
 def first_value(headers: Headers, name: bytes) -> bytes | None:
-    """The value of a header, by its name in lower case; None if it is absent."""
+    """Return the value of the first header with a lower-case name; None if it is absent."""
     return next((value for key, value in headers if key.lower() == name), None)
 
 
 def end_to_end(headers: Headers) -> list[tuple[bytes, bytes]]:
-    """The headers without those that belong to one connection (RFC 9110, section 7.6.1)."""
+    """Return the headers without the hop-by-hop ones (RFC 9110, section 7.6.1)."""
     named: set[bytes] = set()
     for name, value in headers:
         if name.lower() == b"connection":
@@ -37,12 +37,12 @@
 def request_headers(
     server: BackendAddress, request: BackendRequest, *, remaining_s: float
 ) -> list[tuple[bytes, bytes]]:
-    """The headers to send.
+    """Return the headers of the request that is sent to a backend server.
 
     Args:
-        server: Who it is sent to.
-        request: The request.
-        left_s: Seconds left until its deadline.
+        server: The receiving backend server.
+        request: The request to forward.
+        remaining_s: Time until the request's deadline, in seconds.
     """
     headers = _without(end_to_end(request.headers), OWN_REQUEST_HEADERS)
     if first_value(headers, b"host") is None:
@@ -60,7 +60,7 @@
 
 
 def matches_request(headers: Headers, request: BackendRequest, *, must_echo: bool) -> bool:
-    """Whether a response answers this request, as far as its request id tells."""
+    """Return whether the response belongs to the request, judged by the echoed request id."""
     echoed = first_value(headers, REQUEST_ID_HEADER)
     if echoed is None:
         return not must_echo
@@ -68,18 +68,18 @@
 
 
 def retry_after_s(headers: Headers) -> float | None:
-    """The seconds of ``Retry-After``; None if it is absent or a date."""
+    """Return the value of ``Retry-After`` in seconds; None if it is absent or a date."""
     value = first_value(headers, b"retry-after")
     return float(value) if value is not None and value.isdigit() else None
 
 
 def is_draining(headers: Headers) -> bool:
-    """Whether the backend server said that it is leaving."""
+    """Return whether the headers announce that the backend server is draining."""
     return first_value(headers, DRAINING_HEADER) == b"1"
 
 
 def has_delimited_body(method: str, status: int, headers: Headers) -> bool:
-    """Whether the end of a response's body can be told from a broken connection."""
+    """Return whether a complete response body can be told from a broken connection."""
     if method == "HEAD" or status in (204, 304):
         return True
     names = {name.lower() for name, _ in headers}
--- a/src/wagtailpoint/adapters/backend_http.py
+++ b/src/wagtailpoint/adapters/backend_http.py
@@ -1,8 +1,8 @@
 """Exchanges with backend servers over HTTP/1.1, with httpcore on trio.
 
-What matters here is the verdict. ``NOT_RUN`` is said in two cases only: no byte of the request was
-handed to a socket, or the backend server said "shed, not run" in an answer that bears this
-request's id. Everything else that goes wrong is ``MAY_HAVE_RUN``.
+A failure gets the verdict ``NOT_RUN`` in two cases only: no byte of the request was written to a
+socket, or the backend server answered "shed, not run" with the id of this request. Every other
+failed exchange gets ``MAY_HAVE_RUN``.
 """
 
 from collections.abc import AsyncGenerator, AsyncIterator
@@ -29,17 +29,17 @@
 from wagtailpoint.verdict import Verdict
 
 MAX_IDLE_CONNECTIONS = 12
-"""Idle connections kept for each backend server."""
+"""Per backend server."""
 
 MAX_CONNECTIONS = 36
-"""Exchanges at the same time with one backend server: 9 entries share its 330 connections."""
+"""Concurrent exchanges with one backend server: 9 entries share its 330 connections."""
 
 BODY_STALL_TIMEOUT_S = 30.0
-"""How long a response's body may stand still, in seconds, before it counts as broken: a frozen
-backend server would otherwise hold a slot of the entry forever."""
+"""Maximum time without data within a response body, in seconds. A frozen backend server would
+otherwise hold a slot of the entry forever."""
 
 SHED_BODY_TIMEOUT_S = 0.05
-"""How long the body of a shed answer is waited for, in seconds, to use its connection again."""
+"""Maximum time for reading the body of a shed response, in seconds, to reuse its connection."""
 
 MAX_SHED_BODY_BYTES = 16 * 1024
 MAX_REPORT_BYTES = 64 * 1024
@@ -60,12 +60,12 @@
 
 
 class PoolCounts(NamedTuple):
-    """How often connections to a backend server were opened and used again.
+    """Numbers of opened, reused and idle connections to a backend server.
 
     Attributes:
-        opened: Connections opened.
-        reused: Exchanges that used a connection again.
-        idle: Idle connections now.
+        opened: Connections opened since the start.
+        reused: Exchanges since the start that reused a connection.
+        idle: Connections that are idle at present.
     """
 
     opened: int
@@ -74,7 +74,7 @@
 
 
 class HttpBackends:
-    """The connections to all backend servers; implements ``ports.backend.Backends``."""
+    """Sends requests to all backend servers; implements ``ports.backend.Backends``."""
 
     def __init__(
         self,
@@ -83,12 +83,12 @@
         max_connections: int = MAX_CONNECTIONS,
         body_stall_s: float = BODY_STALL_TIMEOUT_S,
     ) -> None:
-        """Make an adapter without any connection.
+        """Initialise the adapter without opening a connection.
 
         Args:
-            kept_connections: Idle connections kept for each backend server.
-            most_connections: Exchanges at the same time with one backend server.
-            body_stall_s: How long a response's body may stand still, in seconds.
+            kept_connections: Maximum number of idle connections per backend server.
+            max_connections: Maximum number of concurrent exchanges per backend server.
+            body_stall_s: Maximum time without data within a response body, in seconds.
         """
         self._max_idle = kept_connections
         self._max_connections = max_connections
@@ -97,7 +97,7 @@
         self._probes = 0
 
     def counts(self, server: BackendAddress) -> PoolCounts:
-        """How the connections to a backend server were used."""
+        """Return the connection counts of a backend server."""
         pool = self._pools.get(server)
         return (
             PoolCounts(0, 0, 0) if pool is None else PoolCounts(pool.opened, pool.reused, pool.idle)
@@ -107,7 +107,7 @@
     async def exchange(
         self, server: BackendAddress, request: BackendRequest
     ) -> AsyncIterator[Result[BackendResponse, BackendFailure]]:
-        """Send one request to one backend server, without any retry."""
+        """Send one request to one backend server, without retries."""
         pool = self._pool(server)
         deadline = trio.current_time() + request.deadline_s
         acquired = await _acquire(pool, request, deadline)
@@ -133,7 +133,7 @@
     async def probe(
         self, server: BackendAddress, *, timeout_s: float, path: str = "/load"
     ) -> Result[LoadReport, BackendFailure]:
-        """Ask a backend server for its health and load."""
+        """Fetch the load report of a backend server."""
         self._probes += 1
         request = BackendRequest(
             request_id=f"probe-{self._probes}",
@@ -152,7 +152,7 @@
         return Err(BackendFailure(Verdict.MAY_HAVE_RUN, FailureReason.TIMEOUT))
 
     async def close(self, server: BackendAddress) -> None:
-        """Close idle connections to a backend server that left the configuration."""
+        """Close the connections to a backend server that was removed from the configuration."""
         pool = self._pools.pop(server, None)
         if pool is not None:
             await pool.retire()
@@ -168,7 +168,7 @@
 
 
 class ResponseBody:
-    """A response's body, which ends cleanly only if it is whole."""
+    """A response body whose iteration ends without an error only if the body is complete."""
 
     def __init__(self, *, response: httpcore.Response, stall_s: float) -> None:
         stream: Any = response.stream
@@ -181,15 +181,16 @@
         return self
 
     async def __anext__(self) -> bytes:
-        # httpcore's iterator that broke once ends cleanly when it is asked again; this one doesn't.
+        # After an error, httpcore's iterator ends cleanly on the next call, so that a broken body
+        # would look complete. This one raises the error again.
         if self._broken is not None:
             raise BodyBroken(self._broken)
-        self._broken = f"the body stood still for {self._stall_s} s"
+        self._broken = f"no data of the response body within {self._stall_s} s"
         with trio.move_on_after(self._stall_s):
             try:
                 chunk: bytes = await anext(self._chunks)
             except (httpcore.ProtocolError, httpcore.NetworkError) as error:
-                self._broken = f"the body ended before its promised end: {error}"
+                self._broken = f"the response body is incomplete: {error}"
                 raise BodyBroken(self._broken) from error
             except StopAsyncIteration:
                 self._broken = None
@@ -199,8 +200,8 @@
         raise BodyBroken(self._broken)
 
     async def aclose(self) -> None:
-        """Close the connection, unless the body was read to its end."""
-        self._broken = self._broken or "the exchange is over"
+        """Close the response; its connection too, unless the body was read to its end."""
+        self._broken = self._broken or "the response body was closed"
         with trio.CancelScope(shield=True):
             await self._chunks.aclose()
             await self._stream.aclose()
@@ -209,7 +210,7 @@
 async def _acquire(
     pool: ConnectionPool, request: BackendRequest, deadline: float
 ) -> Result[PooledConnection, BackendFailure]:
-    """Get a connection. No byte of the request leaves here, so each failure is ``NOT_RUN``."""
+    """Acquire a connection. No byte of the request is sent, so every failure is ``NOT_RUN``."""
     try:
         with trio.move_on_at(deadline):
             return Ok(await pool.acquire(idempotent=request.idempotent))
@@ -223,7 +224,7 @@
 async def _send(
     connection: PooledConnection, server: BackendAddress, request: BackendRequest, deadline: float
 ) -> Result[httpcore.Response, BackendFailure]:
-    """Send the request and wait for the head of its response."""
+    """Send the request and wait for the status and headers of its response."""
     connection.stream.start_request()
     remaining_s = deadline - trio.current_time()
     try:
@@ -255,15 +256,15 @@
 async def _classify_response(
     request: BackendRequest, response: httpcore.Response
 ) -> Result[httpcore.Response, BackendFailure]:
-    """Tell a usable response from a shed one and from one that can't be trusted."""
+    """Return the response if it is usable, otherwise the failure that it stands for."""
     headers = response.headers
     if not backend_headers.matches_request(headers, request, must_echo=request.echoes_request_id):
         return Err(BackendFailure(Verdict.MAY_HAVE_RUN, FailureReason.CROSSED_ANSWER))
     shed = backend_headers.first_value(headers, backend_headers.SHED_HEADER)
     if response.status == SHED_STATUS and shed == backend_headers.SHED_NOT_RUN:
         await _discard_body(response)
-        # A shed answer without our id might be meant for another request, while ours runs: only
-        # one that bears it is a promise, also from a service that need not repeat ids elsewhere.
+        # A shed response without this request's id may belong to another request while this one
+        # runs. It proves NOT_RUN only with the id, even if the service need not echo ids.
         bears_own_id = backend_headers.matches_request(headers, request, must_echo=True)
         return Err(
             BackendFailure(
@@ -280,7 +281,7 @@
 
 
 async def _discard_body(response: httpcore.Response) -> None:
-    """Read a short body to its end, so that the connection can be used again."""
+    """Read a short body to its end, so that the connection can be reused."""
     stream: Any = response.stream
     remaining_bytes = MAX_SHED_BODY_BYTES
     try:
@@ -291,7 +292,7 @@
                     if remaining_bytes < 0:
                         break
     except (httpcore.ProtocolError, httpcore.NetworkError):
-        pass  # the verdict came with the head; the connection is closed below
+        pass  # The verdict is known from the headers; the connection is closed below.
     with trio.CancelScope(shield=True):
         await stream.aclose()
 
--- a/src/wagtailpoint/adapters/backend_pool.py
+++ b/src/wagtailpoint/adapters/backend_pool.py
@@ -1,4 +1,4 @@
-"""The connections to one backend server: which is used again, which is closed."""
+"""The pool of connections to one backend server: which are reused and which are closed."""
 
 from collections import deque
 
@@ -9,25 +9,25 @@
 from wagtailpoint.ports.backend import BackendAddress
 
 IDLE_TIMEOUT_S = 4.0
-"""The longest rest of a connection, in seconds; just under the shortest usual keep-alive time of
-servers (5 s), so that mostly we close it and not they."""
+"""Idle time after which a connection is closed, in seconds. Just under the shortest usual
+keep-alive time of servers (5 s), so that usually this side closes first."""
 
 SAFE_IDLE_S = 1.0
-"""The longest rest of a connection that a non-idempotent request may use, in seconds.
+"""Maximum idle time of a connection that is reused for a non-idempotent request, in seconds.
 
-A server may close an idle connection just while a request is on its way. The reset that comes back
-does not tell whether the request ran, so a release or a hold gets `may-have-run` for nothing, and
-its caller can't repeat it. Servers keep connections for seconds, so a connection that was used a
-moment ago is not about to be closed; otherwise a fresh one costs a millisecond. A server found to
-close sooner gets a lower limit of its own (see ``ConnectionPool``).
+A server may close an idle connection while a request is on its way. The resulting reset does not
+show whether the request ran, so a release or a hold gets `may-have-run` needlessly and its caller
+can't retry it. Servers keep idle connections for seconds, so one that was used within this time is
+unlikely to be closed; opening a new one costs a millisecond. For a server that closes sooner the
+limit is lowered (see ``ConnectionPool``).
 """
 
 
 class PooledConnection:
     """One HTTP/1.1 connection.
 
-    httpcore's own pool is not used: it hands out whichever idle connection comes first, and can't
-    be asked for a fresh one for just this request.
+    httpcore's own pool is not used because it returns any idle connection and can't be told to open
+    a new one for a particular request.
     """
 
     def __init__(self, *, server: BackendAddress, stream: RecordingStream) -> None:
@@ -39,32 +39,32 @@
 
     @property
     def idle_s(self) -> float:
-        """How long it has been idle, in seconds."""
+        """Time since the last exchange ended, in seconds."""
         return trio.current_time() - self.idle_since
 
     @property
     def reusable(self) -> bool:
-        """Whether the exchange on it ended cleanly, with nothing left over.
+        """Whether the last exchange ended cleanly and no bytes remain in the parser.
 
-        Bytes behind the end of a response (an unasked second answer, or a body longer than its
-        Content-Length) stay in the parser, which httpcore does not look at: the next request on
-        the connection would be given them as its answer.
+        Bytes after the end of a response (an unsolicited second response, or a body longer than its
+        Content-Length) stay in the parser without httpcore checking for them. They would be taken
+        for the response to the next request on the connection.
         """
         leftover, closed_by_peer = self.http._h11_state.trailing_data
         return self.http.is_idle() and not leftover and not closed_by_peer
 
     @property
     def found_closed_on_reuse(self) -> bool:
-        """Whether it was used again and found closed, without any word of an answer."""
+        """Whether the connection was reused and then closed before any byte of a response."""
         return self.idle_before_reuse_s is not None and self.stream.closed_before_response
 
     @property
     def closed_by_server(self) -> bool:
-        """Whether the idle connection was closed, or holds bytes that nobody asked for."""
+        """Whether the idle connection was closed by the server or received unsolicited bytes."""
         return self.http.has_expired()
 
     async def close(self) -> None:
-        """Close it, at once and whatever goes on on it."""
+        """Close the connection at once, even during an exchange."""
         with trio.CancelScope(shield=True):
             await self.http.aclose()
 
@@ -72,42 +72,43 @@
 class ConnectionPool:
     """The connections to one backend server.
 
-    How long a connection may rest before a non-idempotent request uses it is learned: half of the
-    rest after which a connection was found closed by the server, and at most ``SAFE_IDLE_S``. It
-    rises again by connections that were used after a longer rest and worked.
+    The maximum idle time before reuse by a non-idempotent request adapts to the server: half of the
+    idle time after which a connection was found closed by the server, and at most ``SAFE_IDLE_S``.
+    It rises again when a connection works after a longer idle time.
 
     Attributes:
-        opened: Connections opened so far.
-        reused: Exchanges so far that used a connection again.
+        opened: Connections opened since the start.
+        reused: Exchanges since the start that reused a connection.
     """
 
     def __init__(self, *, server: BackendAddress, max_idle: int, max_connections: int) -> None:
-        """Make an empty pool.
+        """Initialise an empty pool.
 
         Args:
             server: The backend server.
-            kept: Idle connections kept at most.
-            most: Exchanges at the same time at most; more wait for one to end.
+            max_idle: Maximum number of idle connections.
+            max_connections: Maximum number of concurrent exchanges; further ones wait.
         """
         self.opened = 0
         self.reused = 0
         self._server = server
         self._max_idle = max_idle
         self._exchange_slots = trio.Semaphore(max_connections)
-        # The last one used is the first one used again, so that the others grow old and go.
+        # Used as a stack: the most recently used connection is reused first, so that surplus ones
+        # reach the idle timeout.
         self._idle: deque[PooledConnection] = deque()
-        self._max_reuse_idle_s = SAFE_IDLE_S
+        self._safe_idle_s = SAFE_IDLE_S
 
     @property
     def idle(self) -> int:
-        """Idle connections."""
+        """Number of idle connections."""
         return len(self._idle)
 
     async def acquire(self, *, idempotent: bool) -> PooledConnection:
-        """Take an idle connection, or open one.
+        """Take an idle connection, or open a new one.
 
         Args:
-            idempotent: Whether the request can be repeated should the connection turn out closed.
+            idempotent: Whether the request can be retried if the connection proves to be closed.
 
         Raises:
             OSError: A new connection can't be opened.
@@ -120,7 +121,7 @@
             raise
 
     async def release(self, connection: PooledConnection) -> None:
-        """Give a connection back: it is kept if it is clean, otherwise closed."""
+        """Return a connection to the pool if it is reusable, otherwise close it."""
         self._exchange_slots.release()
         if connection.found_closed_on_reuse:
             self._record_closed(connection.idle_before_reuse_s)
@@ -134,20 +135,20 @@
             await self._idle.popleft().close()
 
     async def retire(self) -> None:
-        """Close the idle connections, and the others as their exchanges end."""
-        # Otherwise an exchange that outlives its backend server's place in the configuration would
-        # leave its connection open in a pool that nobody looks at any more.
+        """Close the idle connections at once, and the others as their exchanges end."""
+        # Otherwise an exchange that outlives the configuration of its backend server would leave
+        # its connection open in a pool without further use.
         self._max_idle = 0
         await self.close_idle()
 
     async def close_idle(self, *, min_idle_s: float = 0.0) -> None:
-        """Close the idle connections that rested for so many seconds."""
+        """Close the connections that have been idle for at least ``min_idle_s`` seconds."""
         while self._idle and self._idle[0].idle_s >= min_idle_s:
             await self._idle.popleft().close()
 
     async def _take(self, *, idempotent: bool) -> PooledConnection:
         await self.close_idle(min_idle_s=IDLE_TIMEOUT_S)
-        max_idle_s = IDLE_TIMEOUT_S if idempotent else self._max_reuse_idle_s
+        max_idle_s = IDLE_TIMEOUT_S if idempotent else self._safe_idle_s
         while self._idle and self._idle[-1].idle_s <= max_idle_s:
             connection = self._idle.pop()
             if not connection.closed_by_server:
@@ -155,15 +156,15 @@
                 connection.idle_before_reuse_s = connection.idle_s
                 return connection
             self._record_closed(connection.idle_s)
-            max_idle_s = max_idle_s if idempotent else self._max_reuse_idle_s
+            max_idle_s = max_idle_s if idempotent else self._safe_idle_s
             await connection.close()
         self.opened += 1
         return PooledConnection(server=self._server, stream=await connect(self._server))
 
     def _record_closed(self, idle_s: float | None) -> None:
         if idle_s is not None:
-            self._max_reuse_idle_s = min(self._max_reuse_idle_s, idle_s / 2)
+            self._safe_idle_s = min(self._safe_idle_s, idle_s / 2)
 
     def _record_reused(self, idle_s: float | None) -> None:
         if idle_s is not None:
-            self._max_reuse_idle_s = max(self._max_reuse_idle_s, min(SAFE_IDLE_S, idle_s / 2))
+            self._safe_idle_s = max(self._safe_idle_s, min(SAFE_IDLE_S, idle_s / 2))
--- a/src/wagtailpoint/adapters/backend_stream.py
+++ b/src/wagtailpoint/adapters/backend_stream.py
@@ -1,4 +1,4 @@
-"""The TCP stream under httpcore that remembers whether a byte was handed to the socket."""
+"""The TCP stream below httpcore, which records whether a request may have been sent."""
 
 import socket
 from ssl import SSLContext
@@ -11,12 +11,12 @@
 
 
 class RecordingStream(httpcore.AsyncNetworkStream):
-    """A plain TCP stream that knows whether the present request can have left.
+    """A plain TCP stream that records whether the current request may have been sent.
 
-    httpcore swallows a failed write and goes on reading, and its trace events start before the
-    head is even encoded; so neither tells a request that never left from one that did. This
-    stream is asked directly. Its ``timeout`` arguments are httpcore's and unused: deadlines are
-    cancel scopes around the whole exchange.
+    httpcore ignores a failed write and goes on reading, and its trace events start before the
+    headers are encoded, so neither shows whether a request was sent. The ``timeout`` arguments are
+    part of httpcore's interface and unused: cancel scopes around the whole exchange enforce the
+    deadlines.
     """
 
     def __init__(self, *, stream: trio.SocketStream) -> None:
@@ -27,7 +27,7 @@
 
     @property
     def closed_before_response(self) -> bool:
-        """Whether the peer ended the connection before any byte of the present response."""
+        """Whether the peer closed the connection before any byte of the current response."""
         return self._closed_by_peer and not self._response_began
 
     @property
@@ -37,16 +37,16 @@
 
     @property
     def may_have_sent(self) -> bool:
-        """Whether a byte of the present request may have been handed to the socket."""
+        """Whether a byte of the current request may have been written to the socket."""
         return self._may_have_sent
 
     def start_request(self) -> None:
-        """Forget the request before."""
+        """Reset the state of the previous request."""
         self._may_have_sent = False
         self._response_began = False
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:  # noqa: ASYNC109
-        """Read some bytes; none at the end."""
+        """Read up to ``max_bytes`` bytes; no bytes mean the end of the stream."""
         try:
             data = await self._stream.receive_some(max_bytes)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
@@ -57,11 +57,11 @@
         return bytes(data)
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:  # noqa: ASYNC109
-        """Write all of the buffer."""
+        """Write the whole buffer."""
         if not buffer:
             return
-        # Set before the write and not after it: a write that fails or is cancelled half-way has
-        # sent bytes too, and a `not-run` after that would let a release be paid twice.
+        # Set before the write: one that fails or is cancelled half-way has sent bytes too, and a
+        # `not-run` after that would let a release be paid twice.
         self._may_have_sent = True
         try:
             await self._stream.send_all(buffer)
@@ -78,19 +78,19 @@
         server_hostname: str | None = None,
         timeout: float | None = None,  # noqa: ASYNC109
     ) -> httpcore.AsyncNetworkStream:
-        """Not used: backend servers are reached over plain TCP."""
+        """Raise NotImplementedError: backend servers are reached over plain TCP."""
         raise NotImplementedError("backend servers are reached over plain TCP")
 
     def get_extra_info(self, info: str) -> Any:
-        """Answer httpcore's question whether an idle connection became readable (was closed)."""
+        """Return whether the socket is readable, by which httpcore detects closed connections."""
         return self._stream.socket.is_readable() if info == "is_readable" else None
 
 
 async def connect(server: BackendAddress) -> RecordingStream:
-    """Open a connection.
+    """Open a connection to a backend server.
 
     Raises:
-        OSError: The backend server refused, or can't be reached.
+        OSError: The backend server refused the connection or can't be reached.
     """
     family = socket.AF_INET6 if ":" in server.address else socket.AF_INET
     sock = trio.socket.socket(family, socket.SOCK_STREAM)
--- a/src/wagtailpoint/adapters/clock.py
+++ b/src/wagtailpoint/adapters/clock.py
@@ -1,4 +1,4 @@
-"""The clocks of the machine."""
+"""The clock of the operating system."""
 
 import time
 
@@ -7,9 +7,9 @@
     """Implements ``wagtailpoint.ports.clock.Clock``."""
 
     def monotonic(self) -> float:
-        """Seconds since the machine started, suspension included."""
+        """Return the seconds since the system started, including suspended time."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def wall(self) -> float:
-        """Seconds since the epoch."""
+        """Return the seconds since the Unix epoch."""
         return time.time()
--- a/src/wagtailpoint/adapters/http_body.py
+++ b/src/wagtailpoint/adapters/http_body.py
@@ -1,4 +1,4 @@
-"""The body of a caller's request, as it arrives."""
+"""The body of a caller's request, read as it arrives."""
 
 from collections.abc import AsyncIterator
 from typing import Any
@@ -10,15 +10,15 @@
 from wagtailpoint.entry.request import BodyTooLarge, BodyTooSlow
 
 MIN_BYTES_PER_S = 8 * 1024
-"""A body is waited for as long as a caller may stall, and a second more for each so many bytes.
+"""Minimum transfer rate of a request body, in addition to the stall timeout.
 
-A caller that trickles its body, on purpose or not, would otherwise hold the slot of a backend
+A caller that sends its body slowly, on purpose or not, would otherwise hold the slot of a backend
 server for as long as the route's timeout allows.
 """
 
 
 class RequestBody:
-    """The body of one request."""
+    """The body of one request, with limits on its size and on the time it takes."""
 
     def __init__(
         self,
@@ -37,8 +37,8 @@
         """Yield the body as it arrives.
 
         Raises:
-            BodyTooLarge: It is longer than this instance takes.
-            BodyTooSlow: The caller sends it too slowly.
+            BodyTooLarge: The body is larger than this instance accepts.
+            BodyTooSlow: The caller sends the body too slowly.
         """
         await self._connection.send_continue()
         size = 0
@@ -49,7 +49,7 @@
                 message: Any = await self._receive()
             if scope.cancelled_caught:
                 raise BodyTooSlow
-            # Only the time in which the caller was waited for, not that in which we did not read.
+            # Counts the time spent waiting for the caller, not the time between reads.
             waited_s += trio.current_time() - wait_started
             size += len(message["body"])
             if size > self._max_bytes:
--- a/src/wagtailpoint/adapters/http_connection.py
+++ b/src/wagtailpoint/adapters/http_connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection: reading, writing, and the limits on a caller that does neither."""
+"""The connection of one caller: reading, writing, and the time limits on an inactive caller."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager, suppress
@@ -21,19 +21,20 @@
 
 LINGER_TIMEOUT_S = 2.0
 MAX_LINGER_BYTES = 16 * 1024 * 1024
-"""The rest of a request's body that is read and dropped after an early reply, before the connection
-is closed: a close with unread bytes resets the connection, and the reset can overtake the reply."""
+"""Limits for reading and discarding the rest of a request body after an early reply, before the
+connection is closed. A close with unread bytes resets the connection, and the reset can overtake
+the reply."""
 
 READ_BYTES = 64 * 1024
 
 
 class CallerLimits(NamedTuple):
-    """How long a caller may do nothing, in seconds.
+    """Maximum times of inactivity of a caller, in seconds.
 
     Attributes:
         idle_s: Between two requests.
-        stall_s: In the middle of the headers or the body of a request, and for each piece of a
-            reply (64 KiB at most). A reader that stops would otherwise hold the slot of a backend
+        stall_s: Within the headers or the body of a request, and for taking each chunk of a reply
+            (64 KiB at most). A caller that stops reading would otherwise hold the slot of a backend
             server, its connection and the entry's memory forever, and a graceful stop would wait
             for it. A slow but steady reader gets its whole download.
     """
@@ -43,11 +44,11 @@
 
 
 IdleConnections = dict["CallerConnection", float]
-"""The connections without an open request and since when, longest first."""
+"""Connections without an open request, with the time since when, longest idle first."""
 
 
 class CallerConnection:
-    """One caller's connection; one task reads it, and each request has one."""
+    """The connection of one caller; one task reads from it, and each request has its own task."""
 
     def __init__(
         self,
@@ -61,17 +62,17 @@
         quick: QuickHandler | None = None,
         is_leaving: Callable[[], bool] = lambda: False,
     ) -> None:
-        """Make a connection that was just accepted.
+        """Initialise the connection for an accepted socket.
 
         Args:
-            stream: Its socket.
-            app: The application that serves its requests.
+            stream: The accepted socket.
+            app: The application that serves the requests.
             config: Hypercorn's configuration.
             context: Hypercorn's state of the whole server.
-            limits: How long the caller may do nothing.
-            resting: Where it enters itself while it has no open request.
+            limits: Maximum times of inactivity of the caller.
+            idle_connections: Holds the connection while it has no open request.
             quick: Answers some requests at once.
-            is_leaving: Whether callers shall not use the connection again.
+            is_leaving: Returns whether callers are told not to reuse the connection.
         """
         self._stream = stream
         self._app = app
@@ -89,7 +90,7 @@
         self._protocol: CallerProtocol
 
     async def run(self) -> None:
-        """Serve it to its end."""
+        """Serve the connection until it ends."""
         try:
             async with TaskGroup() as group:
                 self._protocol = self._make_protocol(group)
@@ -101,7 +102,7 @@
                 if not self._closed_locally:
                     self._handle_disconnect()
                 elif self._request is not None:
-                    # Refused in the middle of its body: nothing of it will come any more.
+                    # Refused in the middle of its body: the rest of the body will not arrive.
                     self._request.cancel()
         finally:
             self._idle_connections.pop(self, None)
@@ -109,20 +110,20 @@
                 await self._close()
 
     def close_if_idle(self) -> None:
-        """Close it, unless a request is open."""
+        """Close the connection, unless a request is open."""
         if self in self._idle_connections:
             self._closed_locally = True
             self._reading.cancel()
 
     def limit_idle_until(self, deadline: float) -> None:
-        """Let it rest no longer than this, by trio's clock."""
-        # Its end is ours then, not the caller's: it is closed and not reset.
+        """Close the connection if it is still idle at ``deadline``, by trio's clock."""
+        # The instance ends the connection then, not the caller: it is closed and not reset.
         self._closed_locally = True
         self._reading.deadline = min(self._reading.deadline, deadline)
 
     @contextmanager
     def open_request(self) -> Iterator[None]:
-        """Cancel what runs inside when the caller has gone."""
+        """Return a context in which a request is served; cancelled when the caller disconnects."""
         with trio.CancelScope() as scope:
             self._request = scope
             if self._disconnected:
@@ -131,11 +132,11 @@
         self._request = None
 
     async def send_continue(self) -> None:
-        """Tell a caller that waits for it to send its body."""
+        """Send `100 Continue` if the caller waits for it before sending the body."""
         await self._protocol.send_continue()
 
     async def flush(self) -> None:
-        """Send the headers of the reply now, without waiting for a part of its body."""
+        """Send the headers of the reply at once, without waiting for a part of its body."""
         await self._protocol.flush()
 
     def _make_protocol(self, group: TaskGroup) -> CallerProtocol:
@@ -192,7 +193,8 @@
                 await self._stream.send_all(data)
                 is_complete = True
         finally:
-            # Whatever ended the write half-way, nothing may follow what was sent of it.
+            # After an incomplete write nothing more may be sent: the caller would read it as
+            # the continuation.
             if not is_complete:
                 self._handle_disconnect()
 
@@ -216,7 +218,7 @@
     async def _close(self) -> None:
         try:
             if self._disconnected or self._protocol.end_is_ambiguous:
-                # A reply that broke off must not look whole to a caller that waits for the end.
+                # A truncated reply must not look complete to a caller that reads until the end.
                 reset_on_close(self._stream)
             elif self._protocol.has_unread_body:
                 await linger(self._stream)
@@ -225,7 +227,7 @@
 
 
 async def linger(stream: trio.SocketStream) -> None:
-    """End our side, and read what the caller still sends, within bounds."""
+    """Close the sending side, then read and discard what the caller sends, within limits."""
     with suppress(OSError, trio.BrokenResourceError, trio.ClosedResourceError):
         await stream.send_eof()
         remaining_bytes = MAX_LINGER_BYTES
--- a/src/wagtailpoint/adapters/http_protocol.py
+++ b/src/wagtailpoint/adapters/http_protocol.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 towards callers: hypercorn's protocol, in which every error is answered as a refusal."""
+"""HTTP/1.1 towards callers: hypercorn's protocol with every error answered by a refusal."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -26,16 +26,16 @@
 
 
 def refuse_unread(status: HTTPStatus, code: RefusalCode, reason: str, retry_s: float) -> Refusal:
-    """A refusal of a request whose headers were not read.
+    """Return the refusal of a request whose headers were not read.
 
-    It may have run: the entry has not seen its key, and so can't rule out that this is a copy of a
-    request that ran before. A `not-run` here would let a release be paid twice.
+    Its verdict is `may-have-run`: without the idempotency key the entry can't rule out that this is
+    a retry of a request that ran. A `not-run` here would let a release be paid twice.
     """
     return Refusal(status, code, reason, Verdict.MAY_HAVE_RUN, retry_s)
 
 
 class QuickReply(NamedTuple):
-    """A reply that is made at once, from memory.
+    """A complete reply from memory, sent without a call of the application.
 
     Attributes:
         status: HTTP status.
@@ -49,16 +49,16 @@
 
 
 QuickHandler = Callable[[bytes, Headers], QuickReply | None]
-"""Answers a GET by its target and headers, or leaves it to the application."""
+"""Answers a GET by its target and headers; returns None to leave it to the application."""
 
 
 class CallerProtocol(H11Protocol):
-    """One caller's connection as HTTP/1.1.
+    """The HTTP/1.1 protocol on the connection of one caller.
 
-    It differs from hypercorn's own in this: errors are refusals with a body; upgrades are ignored
-    and HTTP/2 is refused; `100 Continue` is sent when the body is wanted, not before; the headers
-    of a response leave together with the first part of its body; nothing waits for the application
-    to take notice of the connection's end.
+    Differences from hypercorn's protocol: errors are refusals with a body; upgrades are ignored and
+    HTTP/2 is refused; `100 Continue` is sent when the body is read, not before; the headers of a
+    response are sent together with the first part of its body; the end of the connection does not
+    wait for the application to notice it.
     """
 
     _held_head = b""
@@ -67,19 +67,22 @@
 
     @property
     def head_is_unfinished(self) -> bool:
-        """Whether a part of a request's headers has arrived, and not yet all."""
+        """Whether a request's headers have arrived in part but not completely."""
         return self.connection.their_state is h11.IDLE and bool(self.connection.trailing_data[0])
 
     @property
     def has_unread_body(self) -> bool:
-        """Whether the reply is whole, but the request's body was not read to its end."""
+        """Whether the reply is complete but the request's body was not read to its end."""
         return self.connection.our_state in (h11.DONE, h11.MUST_CLOSE) and (
             self.connection.their_state in (h11.SEND_BODY, h11.ERROR)
         )
 
     @property
     def end_is_ambiguous(self) -> bool:
-        """Whether the end of the connection would look like the regular end of the reply."""
+        """Whether closing the connection would look like the regular end of the reply.
+
+        In HTTP/1.0 the end of the connection ends a body without a length.
+        """
         connection = self.connection
         unfinished = connection.our_state is h11.SEND_BODY
         return (
@@ -89,7 +92,7 @@
         )
 
     async def refuse(self, refusal: Refusal) -> None:
-        """Answer a request that never reaches the application, and end the connection."""
+        """Refuse a request before it reaches the application, and end the connection."""
         if self.connection.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             body = refusal.body()
             headers = [
@@ -110,13 +113,13 @@
             await self.flush()
 
     async def flush(self) -> None:
-        """Send the headers of a response now, without waiting for a part of its body."""
+        """Send the headers of a response at once, without waiting for a part of its body."""
         held_head, self._held_head = self._held_head, b""
         if held_head:
             await self._write(held_head)
 
     async def stream_send(self, event: Event) -> None:
-        """Pass on what the application sends."""
+        """Send an event of the application to the caller."""
         if isinstance(event, Response):
             headers = self._with_connection_headers(event.headers)
             response = h11.Response(status_code=event.status_code, headers=headers)
@@ -128,8 +131,8 @@
         complete = list(headers)
         if all(name != b"date" for name, _ in headers):
             complete += self.config.response_headers("h11")
-        # The rest of a body that is not read would stand before the next request; and an instance
-        # that leaves closes its connections soon, perhaps just when the next request is sent.
+        # The unread rest of a body would be parsed as the next request; and a leaving instance
+        # closes its connections soon, possibly while the next request is being sent.
         must_close = self.connection.their_state is h11.SEND_BODY or self.is_leaving()
         if must_close or self.keep_alive_requests >= self.config.keep_alive_max_requests:
             complete.append((b"connection", b"close"))
@@ -154,7 +157,7 @@
                 else:
                     await self._send_quick(quick)
             elif event is h11.PAUSED:
-                # A pipelined request waits in the parser until the reply before it has ended.
+                # A pipelined request stays in the parser until the previous reply has ended.
                 await self.can_read.clear()
                 await self.can_read.wait()
             elif self.stream is None or not isinstance(event, h11.Data | h11.EndOfMessage):
@@ -196,9 +199,9 @@
         return self.quick(request.target, headers)
 
     async def _send_quick(self, reply: QuickReply) -> None:
-        """Reply within the task that reads, without an application's task and queue."""
+        """Send a reply from the reading task, without the task and queue of an application."""
         connection = self.connection
-        connection.next_event()  # The end of the request, which has no body.
+        connection.next_event()  # Consumes the end of the request, which has no body.
         response = h11.Response(
             status_code=reply.status, headers=self._with_connection_headers(reply.headers)
         )
@@ -213,7 +216,8 @@
         try:
             data = self.connection.send(event) or b""
         except h11.LocalProtocolError:
-            # After an error of the caller the refusal is out, and the application comes too late.
+            # After a protocol error of the caller the refusal has been sent already; the
+            # application's reply is dropped.
             if self.connection.their_state is not h11.ERROR:
                 raise
             return
@@ -229,9 +233,9 @@
         await self.send(RawData(data=data))
 
     async def _close_stream(self) -> None:
-        # Hypercorn's own puts a message into the application's queue. If that is full, because the
-        # application stopped reading the body, it waits for room forever, and the connection, its
-        # tasks and its buffers stay for good. The connection cancels the request instead.
+        # Hypercorn's method puts a message into the application's queue. If the queue is full,
+        # because the application stopped reading the body, it blocks forever, and the connection,
+        # its tasks and its buffers are never freed. The connection cancels the request instead.
         if self.stream is not None:
             self.stream.closed = True
             self.stream = None
@@ -239,13 +243,13 @@
 
 def _malformed_refusal(error: h11.RemoteProtocolError) -> Refusal:
     status = HTTPStatus(error.error_status_hint)
-    reason = f"given bytes that are no HTTP/1.1 request: {error}"
+    reason = f"given bytes that are not a valid HTTP/1.1 request: {error}"
     return refuse_unread(status, RefusalCode.BAD_REQUEST, reason, BAD_REQUEST_RETRY_AFTER_S)
 
 
 def _check_head(request: h11.Request) -> Refusal | None:
     if request.http_version not in (b"1.0", b"1.1"):
-        # Hypercorn's HTTP/2 is not used: a DATA frame that comes after the reply was over raises
+        # Hypercorn's HTTP/2 is not used: a DATA frame that arrives after the reply has ended raises
         # KeyError in it, and a reply that breaks off leaves its stream open, so that the caller
         # waits until its own timeout.
         return refuse_unread(
@@ -266,7 +270,7 @@
 
 
 def slow_head_refusal() -> Refusal:
-    """The refusal of a caller that does not finish its headers."""
+    """Return the refusal of a request whose headers are incomplete after the timeout."""
     return refuse_unread(
         HTTPStatus.REQUEST_TIMEOUT,
         RefusalCode.HEADERS_TOO_SLOW,
@@ -276,13 +280,13 @@
 
 
 class ServerConfig(Config):
-    """Hypercorn's configuration; the `Date` header is made once a second, not for each reply."""
+    """Hypercorn's configuration; the `Date` header is formatted once a second, not per reply."""
 
     _date_s = 0
     _date: list[tuple[bytes, bytes]] = []
 
     def response_headers(self, protocol: str) -> list[tuple[bytes, bytes]]:
-        """The headers that every reply bears."""
+        """Return the headers that are added to every reply."""
         now = int(time())
         if now != self._date_s:
             self._date_s = now
--- a/src/wagtailpoint/adapters/http_server.py
+++ b/src/wagtailpoint/adapters/http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP side towards callers and operators: an ASGI application on hypercorn's protocol."""
+"""The HTTP server for callers and operators: an ASGI application on hypercorn's protocol."""
 
 import os
 import socket
@@ -33,20 +33,20 @@
 BACKLOG = 1024
 
 SHUTDOWN_GRACE_S = 3.0
-"""How long replies that are still under way when the server ends may take, in seconds."""
+"""Time that replies in progress may still take after the server has stopped, in seconds."""
 
 MAX_QUEUED_BODY_PARTS = 2
-"""Parts (of 64 KiB at most) of a request's body that wait for the application."""
+"""Parts (of 64 KiB at most) of a request's body that are queued for the application."""
 
 MAX_COALESCED_BODY_BYTES = 64 * 1024
-"""The headers of a reply with a body up to this length leave together with it."""
+"""The headers of a reply with a body up to this length are sent together with the body."""
 
 WRITE_CHUNK_BYTES = 64 * 1024
-"""Replies are written in pieces of this size; a caller has a limited time to take each."""
+"""Replies are written in chunks of this size; the stall timeout applies to each chunk."""
 
 MIN_IDLE_BEFORE_CLOSE_S = 1.0
-"""A connection that has been idle for so many seconds makes room for a new one when all are
-taken."""
+"""Minimum idle time after which a connection may be closed, to admit a new one at the connection
+limit or because the server stops."""
 
 MAX_CONCURRENT_REFUSALS = 64
 CONNECTIONS_FULL_RETRY_AFTER_S = 1.0
@@ -56,15 +56,15 @@
 
 
 class ServerOptions(NamedTuple):
-    """How the HTTP server listens.
+    """The address and the limits of the HTTP server.
 
     Attributes:
-        address: IP number.
-        port: TCP port.
-        header_bytes: The most bytes of one request's headers.
-        request_body_bytes: The most bytes of one request's body.
-        connections: The most connections.
-        limits: How long a caller may do nothing.
+        address: IP address to listen on.
+        port: TCP port to listen on.
+        header_bytes: Maximum size of one request's headers.
+        request_body_bytes: Maximum size of one request's body.
+        connections: Maximum number of connections.
+        limits: Maximum times of inactivity of a caller.
     """
 
     address: str
@@ -81,13 +81,13 @@
     def __init__(
         self, *, send: ASGISendCallable, connection: CallerConnection, request_id: bytes | None
     ) -> None:
-        """Make a reply.
+        """Initialise the reply.
 
         Args:
-            send: Hypercorn's.
-            connection: Where it goes.
-            request_id: The caller's id, which the reply repeats: by it the caller notices an
-                answer that was crossed with another's on the way.
+            send: Hypercorn's send function.
+            connection: The caller's connection.
+            request_id: The caller's request id, which the reply echoes so that the caller can
+                detect an answer that belongs to another request.
         """
         self._send = send
         self._connection = connection
@@ -102,7 +102,7 @@
     async def begin(self, *, status: int, headers: Headers, verdict: Verdict) -> None:
         """Send status and headers."""
         self._begun = True
-        # A backend server's answer bears the id of the entry's exchange with it.
+        # The headers of a backend server carry the id of the entry's exchange with it.
         sent = without_headers(headers, (names.REQUEST_ID, names.VERDICT))
         sent += [(names.VERDICT, verdict.value.encode()), *self._own_headers]
         await self._send({"type": "http.response.start", "status": int(status), "headers": sent})
@@ -111,21 +111,21 @@
             await self._connection.flush()
 
     async def send(self, data: bytes) -> None:
-        """Send a part of the body; waits while the caller reads slowly."""
+        """Send a part of the body; blocks while the caller reads slowly."""
         for start in range(0, len(data), WRITE_CHUNK_BYTES):
             chunk = data[start : start + WRITE_CHUNK_BYTES]
             await self._send({"type": "http.response.body", "body": chunk, "more_body": True})
 
     async def finish(self) -> None:
-        """End the body: from here on the reply is whole."""
+        """End the body, which completes the reply."""
         await self._send({"type": "http.response.body", "body": b"", "more_body": False})
 
     async def cut(self) -> None:
-        """Give up a reply that has begun: the connection ends without the end of the body."""
+        """Abort a reply that has begun: the connection ends without the end of the body."""
         await self._connection.flush()
 
     async def refuse(self, refusal: Refusal) -> None:
-        """Send a refusal as the whole reply, but for its end."""
+        """Send a refusal as the reply; ``finish`` has still to be called."""
         body = refusal.body()
         headers = [*refusal.headers(), (b"content-length", str(len(body)).encode())]
         await self.begin(status=refusal.status, headers=headers, verdict=refusal.verdict)
@@ -133,7 +133,7 @@
 
 
 class HttpServer:
-    """Listens for callers and operators."""
+    """Accepts connections of callers and operators and serves their requests."""
 
     def __init__(
         self,
@@ -144,15 +144,15 @@
         quick: QuickHandler | None = None,
         is_leaving: Callable[[], bool] = lambda: False,
     ) -> None:
-        """Make a server that does not listen yet.
+        """Initialise the server; ``run`` opens the listening sockets.
 
         Args:
-            options: How it listens.
+            options: The address and the limits of the server.
             clock: The instance's clock.
-            handler: Serves a request, in a task of its own.
+            handler: Serves a request, in a separate task.
             quick: Answers a request at once, or leaves it to ``handler``.
-            is_leaving: Whether the instance stops: callers are then told with each reply not to
-                use the connection again.
+            is_leaving: Returns whether the instance is stopping. Each reply then tells the caller
+                not to reuse the connection.
         """
         self._options = options
         self._clock = clock
@@ -167,7 +167,7 @@
 
     @property
     def connections(self) -> int:
-        """Open connections."""
+        """Number of open connections."""
         return self._connections
 
     async def run(
@@ -178,8 +178,8 @@
     ) -> None:
         """Serve until ``stop`` returns.
 
-        Whoever stops the server first waits for the requests in flight: what is still open a
-        moment after ``stop`` returned is cut.
+        ``stop`` has to wait for the requests in flight: requests that are open ``SHUTDOWN_GRACE_S``
+        after it returned are cancelled.
         """
         listeners = await trio.open_tcp_listeners(
             self._options.port, host=self._options.address, backlog=BACKLOG
@@ -196,7 +196,7 @@
                 )
                 task_status.started()
                 await stop()
-                # Kept open beyond the listeners, which are closed with the task that accepts.
+                # Duplicates stay open when the listeners are closed with the accepting task.
                 pending_sockets = [_duplicate(listener) for listener in listeners]
                 accepting.cancel_scope.cancel()
             for pending_socket in pending_sockets:
@@ -206,10 +206,10 @@
             connections.cancel_scope.deadline = trio.current_time() + SHUTDOWN_GRACE_S
 
     def _accept_pending(self, listening: socket.socket, connections: trio.Nursery) -> None:
-        """Accept what waits in the kernel's queue, and close the listening socket.
+        """Accept the connections in the kernel's queue, and close the listening socket.
 
-        Those callers are connected already and may have sent their requests. Closing the socket
-        resets them, and they could not know that their requests never ran.
+        Their callers are connected already and may have sent requests. Closing the socket resets
+        these connections, and the callers could not know that their requests did not run.
         """
         with listening, suppress(BlockingIOError):
             while True:
@@ -218,10 +218,10 @@
                 connections.start_soon(self._serve_connection, stream)
 
     def _close_idle(self) -> None:
-        """Close the connections without a request, those that were just opened a little later.
+        """Close the idle connections, those idle for less than the minimum time after it.
 
-        A caller sends its request right after it has connected. Closed at once, that request would
-        be reset on its way, and its caller could not know that it never ran.
+        A caller sends its request right after it has connected. If the connection were closed at
+        once, the request would meet a reset, and the caller could not know that it did not run.
         """
         now = trio.current_time()
         for connection, since in list(self._idle_connections.items()):
@@ -252,10 +252,10 @@
             self._connections -= 1
 
     def _evict_idle(self) -> bool:
-        """End the connection that has been idle for the longest, if that is long enough.
+        """Close the connection that has been idle longest; return whether there was one to close.
 
-        Otherwise callers that open connections and send nothing would keep out all others. One
-        that was used a moment ago is spared: its caller may be sending the next request just now.
+        Otherwise callers that open connections and send nothing would keep out all others. A
+        recently used connection stays open, as its caller may be sending the next request.
         """
         connection, since = next(iter(self._idle_connections.items()), (None, 0.0))
         if connection is None or trio.current_time() - since < MIN_IDLE_BEFORE_CLOSE_S:
@@ -302,7 +302,8 @@
             await self._handler(request, reply)
             await reply.finish()
         except BodyBroken as error:
-            # Not finished: the connection is closed, and the caller sees a broken body.
+            # The reply is not finished: the connection is closed, and the caller sees an incomplete
+            # body.
             log_event("reply-cut", level="WARNING", target=request.target, error=str(error))
             await reply.cut()
         except Exception as error:  # noqa: BLE001 - one request's fault must not end the others
@@ -354,7 +355,7 @@
     refusal = refuse_unread(
         HTTPStatus.SERVICE_UNAVAILABLE,
         RefusalCode.CONNECTIONS_FULL,
-        f"this instance has {max_connections} open connections and takes no more; use another entry",
+        f"this instance has reached its limit of {max_connections} connections; use another entry",
         CONNECTIONS_FULL_RETRY_AFTER_S,
     )
     body = refusal.body()
@@ -371,7 +372,7 @@
     return Refusal(
         HTTPStatus.INTERNAL_SERVER_ERROR,
         RefusalCode.INTERNAL_ERROR,
-        "a fault of this instance; its log says more",
+        "internal error of this instance; see its log for details",
         Verdict.MAY_HAVE_RUN,
         INTERNAL_ERROR_RETRY_AFTER_S,
     )
--- a/src/wagtailpoint/adapters/object_calls.py
+++ b/src/wagtailpoint/adapters/object_calls.py
@@ -1,9 +1,9 @@
-"""Calls of an object API over HTTP, by httpcore: what is certain when no answer comes.
+"""Calls of an object API over HTTP, with httpcore.
 
-The one thing this module must never get wrong is what it says of a write whose answer did not
-come. httpcore's trace tells when the first byte of a request is handed to the socket: before it,
-nothing can have changed (``PlatformUnavailable``); after it, only an answer of the platform itself
-settles the matter, and without one the outcome is unknown (``OutcomeUnknown``).
+The outcome of a write without an answer has to be reported correctly. httpcore's trace shows when
+the first byte of a request is written to the socket. Before that, nothing can have changed
+(``PlatformUnavailable``); after it, only an answer of the platform itself shows the outcome, and
+without one the outcome is unknown (``OutcomeUnknown``).
 """
 
 import socket
@@ -20,14 +20,14 @@
 
 _MAX_CONNECTIONS = 32
 
-# A write that leaves on an idle connection just as the platform closes it has an unknown outcome.
-# Servers close idle connections after 5 s and more, so ours are dropped well before.
+# A write sent on an idle connection while the platform closes it has an unknown outcome. Servers
+# close idle connections after 5 s and more, so they are closed here well before.
 _IDLE_TIMEOUT_S = 2.0
 
 _FIRST_BYTE_EVENT = "send_request_headers.started"
 
-# A connection can go silent for good without a reset; a watch on it would wait for its whole time
-# and miss every change. Probes of the connection notice it within 1 + 2 * 1 seconds.
+# A connection can fail without a reset; a watch on it would wait for its whole time and miss every
+# change. TCP keep-alive probes detect the failure within 1 + 2 * 1 seconds.
 _KEEPALIVE_IDLE_S = 1
 _KEEPALIVE_INTERVAL_S = 1
 _KEEPALIVE_PROBES = 2
@@ -38,8 +38,8 @@
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES),
 )
 
-# With these the platform says itself that it did not do what was asked. No other failure proves
-# that: a 500 or 504 may come after the write has taken effect.
+# With these statuses the platform itself states that it did not execute the call. No other failure
+# proves that: a 500 or 504 may follow a write that took effect.
 UNAVAILABLE = HTTPStatus.SERVICE_UNAVAILABLE
 REFUSALS = frozenset(
     {
@@ -57,7 +57,7 @@
 
 
 class Call(NamedTuple):
-    """One call of the object API; ``writes`` ones are never sent twice."""
+    """One call of the object API; calls that write are never sent twice."""
 
     method: str
     target: str
@@ -66,12 +66,12 @@
 
     @property
     def writes(self) -> bool:
-        """Whether it may change something."""
+        """Whether the call may change something."""
         return self.method != "GET"
 
 
 class Answer(NamedTuple):
-    """What came back."""
+    """The response to a call."""
 
     status: int
     body: bytes
@@ -82,15 +82,15 @@
 
 
 class ObjectCalls:
-    """Calls of an object API at one of several addresses; the next is tried when one is down."""
+    """Makes calls of an object API at several addresses; tries the next when one is down."""
 
     def __init__(self, *, addresses: Sequence[tuple[str, int]], timeout_s: float) -> None:
-        """Make it without any connection.
+        """Initialise the client without opening a connection.
 
         Args:
-            addresses: Where the platform listens, as (address, port).
-            timeout_s: The longest that a call may take, in seconds, over all addresses; a watch
-                may take its waiting time more.
+            addresses: The addresses on which the platform listens, as (address, port).
+            timeout_s: Maximum duration of a call over all addresses, in seconds; a watch may take
+                its waiting time in addition.
         """
         if not addresses:
             raise ValueError("addresses: given none, expected at least one (address, port)")
@@ -108,29 +108,29 @@
         await self._pool.aclose()
 
     async def read(self, call: Call) -> Result[Answer, PlatformUnavailable]:
-        """Make a call that changes nothing: without an answer, it did nothing."""
+        """Make a call that changes nothing, so that a missing answer is no unknown outcome."""
         outcome = await self.send(call)
         if isinstance(outcome, Err) and isinstance(outcome.err_value, OutcomeUnknown):
             return Err(PlatformUnavailable(str(outcome.err_value)))
         return cast("Result[Answer, PlatformUnavailable]", outcome)
 
     async def write(self, call: Call) -> Result[Answer, CallError]:
-        """Make a call that changes something; an answer may still be a conflict."""
+        """Make a call that may change something; the answer may be a conflict."""
         outcome = await self.send(call)
         if isinstance(outcome, Ok) and outcome.ok_value.status in REFUSALS:
             return Err(refusal_error(outcome.ok_value))
         return outcome
 
     async def send(self, call: Call) -> Result[Answer, CallError]:
-        """Try the addresses in turn, from the last one that answered."""
-        error: CallError = PlatformUnavailable("the platform was not asked")
+        """Make a call at one address after another, starting with the last that answered."""
+        error: CallError = PlatformUnavailable("no request was sent to the platform")
         count = len(self._addresses)
         deadline = trio.current_time() + self._timeout_s
         for attempt in range(count):
             index = (self._preferred + attempt) % count
             attempt_share_s = (deadline - trio.current_time()) / (count - attempt)
-            # A write that has left waits for its answer as long as it may: going on to the next
-            # address would only turn a late answer into an unknown outcome.
+            # A write waits for its answer until the deadline: trying the next address after it was
+            # sent would only turn a late answer into an unknown outcome.
             limit_s = deadline - trio.current_time() if call.writes else attempt_share_s
             outcome = await self._attempt(call, self._addresses[index], attempt_share_s, limit_s)
             if isinstance(outcome, Ok) and outcome.ok_value.status != UNAVAILABLE:
@@ -153,7 +153,7 @@
             may_have_sent = may_have_sent or event.endswith(_FIRST_BYTE_EVENT)
 
         location = f"{address[0]}:{address[1]}"
-        problem = "no answer in time"
+        problem = "no answer within the timeout"
         with trio.move_on_after(limit_s + call.wait_s):
             try:
                 response = await self._pool.request(
@@ -183,19 +183,19 @@
 
 
 def decode_answer(answer: Answer, wire_type: type[_T]) -> Result[_T, PlatformUnavailable]:
-    """The body of an answer, by its type on the wire."""
+    """Decode the body of a successful answer."""
     if answer.status // 100 != 2:
         return Err(refusal_error(answer))
     try:
-        # Bytes that are no text stand in one object; as marks they make only that one unreadable.
+        # Invalid UTF-8 is replaced, so that it makes only the object that contains it unreadable.
         body = answer.body.decode(errors="replace")
         return Ok(msgspec.json.decode(body, type=wire_type))
     except msgspec.DecodeError as error:
-        return Err(PlatformUnavailable(f"the platform's answer can't be read: {error}"))
+        return Err(PlatformUnavailable(f"the platform's answer can't be decoded: {error}"))
 
 
 def refusal_error(answer: Answer) -> PlatformUnavailable:
-    """The error for an answer that is a refusal."""
+    """Return the error for an answer that refuses the call."""
     return PlatformUnavailable(
-        f"the platform answered {answer.status}", retry_after_s=answer.retry_after_s
+        f"the platform answered with status {answer.status}", retry_after_s=answer.retry_after_s
     )
--- a/src/wagtailpoint/adapters/peer_codec.py
+++ b/src/wagtailpoint/adapters/peer_codec.py
@@ -1,4 +1,4 @@
-"""The envelope of messages between instances, in MessagePack, and the counts of what passed."""
+"""The MessagePack envelope of messages between instances, and traffic counts."""
 
 from collections import Counter
 from typing import Any, NamedTuple
@@ -18,18 +18,18 @@
 
 
 class Envelope(NamedTuple):
-    """What goes over a link.
+    """A message with its sender and receiver, as sent over a link.
 
     Attributes:
         kind: The kind of the body.
         address: The sender's address.
         port: The sender's peer port.
         incarnation: The sender's incarnation.
-        to_incarnation: The incarnation that the message is meant for.
-        stamp: When it was sent.
-        number: What a reply has to name; 0 if none is awaited.
-        reply_to: The number of the request that this answers; 0 if it answers none.
-        body: The message.
+        to_incarnation: The incarnation that the message is addressed to.
+        stamp: The time of sending.
+        number: The request's number, which a reply repeats; 0 if no reply is expected.
+        reply_to: The number of the answered request; 0 if the message is no reply.
+        body: The encoded message.
     """
 
     kind: str
@@ -49,14 +49,14 @@
 
 
 class Delivery(NamedTuple):
-    """A message taken out of its envelope."""
+    """A decoded message with its envelope."""
 
     envelope: Envelope
     message: Message
 
 
 class Meter:
-    """Counts messages and bytes by kind, and drops by reason."""
+    """Counts messages and bytes by kind, and dropped messages by reason."""
 
     def __init__(self) -> None:
         self._sent_messages: Counter[str] = Counter()
@@ -67,25 +67,25 @@
 
     @property
     def counts(self) -> PeerCounts:
-        """What was counted so far."""
+        """The counts since the start."""
         return PeerCounts(
             sent=_traffic(self._sent_messages, self._sent_bytes),
             received=_traffic(self._received_messages, self._received_bytes),
             dropped=dict(self._dropped),
         )
 
-    def sent(self, kind: str, size: int) -> None:
-        """Count a message that was handed to a link."""
+    def record_sent(self, kind: str, size: int) -> None:
+        """Record a message that was passed to a link."""
         self._sent_messages[kind] += 1
         self._sent_bytes[kind] += size
 
-    def received(self, kind: str, size: int) -> None:
-        """Count a message that arrived."""
+    def record_received(self, kind: str, size: int) -> None:
+        """Record a message that arrived."""
         self._received_messages[kind] += 1
         self._received_bytes[kind] += size
 
-    def dropped(self, reason: str) -> None:
-        """Count a message that goes no further."""
+    def record_dropped(self, reason: str) -> None:
+        """Record a message that was discarded."""
         self._dropped[reason] += 1
 
 
@@ -102,7 +102,7 @@
     number: int,
     reply_to: int,
 ) -> bytes:
-    """Put a message into its envelope."""
+    """Encode a message with its envelope."""
     envelope = Envelope(
         kind=kind_of(type(message)),
         address=sender.address,
@@ -118,28 +118,28 @@
 
 
 def decode(data: bytes, *, own_incarnation: int, meter: Meter) -> Delivery | None:
-    """Take a message out of its envelope; None, and counted, if it is not for this process.
+    """Decode a message; return None and count a drop if it is invalid or for another process.
 
-    Nothing that arrives may crash the receiver: versions differ while instances are replaced, and
-    what was buffered through a freeze or a restart was meant for a process that is gone.
+    No message may crash the receiver: versions differ while instances are replaced, and a message
+    that was buffered during a freeze or a restart is addressed to the previous process.
     """
     try:
         envelope = _envelope_decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError):
-        meter.dropped("undecodable")
+        meter.record_dropped("undecodable")
         return None
     if envelope.to_incarnation not in (own_incarnation, ANY_INCARNATION):
-        meter.dropped("other-incarnation")
+        meter.record_dropped("other-incarnation")
         return None
     message_type = type_of(envelope.kind)
     if message_type is None:
-        meter.dropped("unknown-kind")
+        meter.record_dropped("unknown-kind")
         return None
-    meter.received(envelope.kind, len(data))
+    meter.record_received(envelope.kind, len(data))
     try:
         return Delivery(envelope, _body_decoder(envelope.kind, message_type).decode(envelope.body))
     except (msgspec.MsgspecError, UnicodeDecodeError):
-        meter.dropped("undecodable")
+        meter.record_dropped("undecodable")
         return None
 
 
--- a/src/wagtailpoint/adapters/peer_dispatch.py
+++ b/src/wagtailpoint/adapters/peer_dispatch.py
@@ -1,4 +1,4 @@
-"""Requests, replies and handlers over links that only carry one-way messages."""
+"""Requests, replies and handlers on top of links that carry one-way messages."""
 
 from itertools import count
 from typing import Any
@@ -22,7 +22,7 @@
 
 
 class _PendingRequest:
-    """A request whose reply is awaited."""
+    """A request that waits for its reply."""
 
     def __init__(self) -> None:
         self.arrived = trio.Event()
@@ -30,11 +30,11 @@
 
 
 class DispatchingPeers:
-    """What all links have in common; a subclass moves the bytes.
+    """Dispatches messages between peers; subclasses implement the transport.
 
     Args:
-        address: Where this instance hears its peers, with its incarnation.
-        clock: Stamps what is sent.
+        address: The address and incarnation at which this instance receives messages.
+        clock: Stamps the sent messages.
     """
 
     def __init__(self, *, address: PeerAddress, clock: HybridClock) -> None:
@@ -47,24 +47,24 @@
 
     @property
     def address(self) -> PeerAddress:
-        """Where this instance hears its peers, with its incarnation."""
+        """The address and incarnation at which this instance receives messages."""
         return self._address
 
     @property
     def counts(self) -> PeerCounts:
-        """What went over the links since the start."""
+        """The counts of messages since the start."""
         return self._meter.counts
 
     def handle(self, message_type: type[Message], handler: Handler) -> None:
-        """Call ``handler`` for every message of a type."""
+        """Register the handler of a message type."""
         self._handlers[message_type] = handler
 
     def send(self, to: PeerAddress, message: Message) -> bool:
-        """Send a message and return at once; False if it was dropped here."""
+        """Send a message without waiting; return False if it was dropped by this instance."""
         return self._send(to, message, number=0, reply_to=0)
 
     def reply(self, received: Received, message: Message) -> bool:
-        """Answer a request, later than its handler's return."""
+        """Answer a request after its handler has returned."""
         return self._send(received.sender, message, number=0, reply_to=received.number)
 
     async def request(
@@ -94,10 +94,10 @@
         raise NotImplementedError
 
     def _record_answer(self, to: PeerAddress) -> None:
-        """Take note that a request was answered."""
+        """Record that a peer answered a request."""
 
     def _record_timeout(self, to: PeerAddress) -> None:
-        """Take note that a request was not answered in time."""
+        """Record that a peer did not answer a request within its timeout."""
 
     def _send(self, to: PeerAddress, message: Message, *, number: int, reply_to: int) -> bool:
         data = encode(
@@ -109,12 +109,12 @@
             reply_to=reply_to,
         )
         if len(data) > MOST_MESSAGE_BYTES:
-            self._meter.dropped("too-large")
+            self._meter.record_dropped("too-large")
             return False
         if not self._transmit(to, data):
-            self._meter.dropped("link-full")
+            self._meter.record_dropped("link-full")
             return False
-        self._meter.sent(kind_of(type(message)), len(data))
+        self._meter.record_sent(kind_of(type(message)), len(data))
         return True
 
     def _receive(self, data: bytes) -> None:
@@ -132,7 +132,7 @@
     def _deliver_reply(self, number: int, message: Message) -> None:
         pending = self._pending.get(number)
         if pending is None:
-            self._meter.dropped("late-reply")
+            self._meter.record_dropped("late-reply")
             return
         pending.reply = message
         pending.arrived.set()
@@ -140,14 +140,14 @@
     def _call_handler(self, received: Received) -> None:
         handler = self._handlers.get(type(received.message))
         if handler is None:
-            self._meter.dropped("no-handler")
+            self._meter.record_dropped("no-handler")
             return
-        # One message that a handler cannot digest must not end the task that receives all others:
-        # the instance would look dead to its peers while it serves callers.
+        # An error in a handler must not end the receiving task: the instance would look dead to
+        # its peers while it serves callers.
         try:
             answer = handler(received)
         except Exception as error:
-            self._meter.dropped("handler-failed")
+            self._meter.record_dropped("handler-failed")
             log_event(
                 "peer-handler-failed",
                 level="ERROR",
--- a/src/wagtailpoint/adapters/peers_nng.py
+++ b/src/wagtailpoint/adapters/peers_nng.py
@@ -1,7 +1,7 @@
 """Links between instances on pynng: each instance listens with one pull socket.
 
-A link is a push socket, dialled when it is first used and closed when it is not used any more, so
-an instance holds links only to those whom it talks to, not to all others.
+A link is a push socket. It is dialled at its first use and closed after an idle time, so that an
+instance holds links only to the peers with which it exchanges messages.
 """
 
 import pynng
@@ -17,15 +17,15 @@
 LINK_IDLE_TIMEOUT_S = 30.0
 MAX_UNANSWERED_REQUESTS = 2
 MIN_REDIAL_AGE_S = 2.0
-"""A link so young may still be opening, and that of the answer after it: several round trips.
-Closed for the questions that were asked meanwhile, it would never open."""
+"""Minimum age of a link before unanswered requests close it, in seconds. Opening the link and the
+peer's link for the answer takes several round trips; a link closed within them would never open."""
 
 RECONNECT_MIN_MS = 100
 RECONNECT_MAX_MS = 1000
 
 
 def limit_threads() -> None:
-    """Make the library start 6 threads instead of 30; only before its first use in a process."""
+    """Make nng start 6 threads instead of 30; must precede its first use in a process."""
     library = _nng.lib
     for parameter, number in (
         (library.NNG_INIT_NUM_TASK_THREADS, 2),
@@ -66,9 +66,9 @@
     """Implements ``wagtailpoint.ports.peers.Peers``.
 
     Args:
-        address: Where this instance hears its peers, with its incarnation.
-        hybrid_clock: Stamps what is sent.
-        clock: Tells which links were not used for long.
+        address: The address and incarnation at which this instance receives messages.
+        hybrid_clock: Stamps the sent messages.
+        clock: Measures the age and idle time of links.
     """
 
     def __init__(self, *, address: PeerAddress, hybrid_clock: HybridClock, clock: Clock) -> None:
@@ -78,14 +78,14 @@
 
     @property
     def open_links(self) -> int:
-        """How many links are open, or being dialled."""
+        """Number of links that are open or being dialled."""
         return len(self._links)
 
     async def run(self) -> None:
         """Listen and receive until cancelled.
 
         Raises:
-            pynng.AddressInUse: Another process listens at the address.
+            pynng.AddressInUse: Another process listens on the address.
         """
         limit_threads()
         with pynng.Pull0(recv_max_size=MOST_MESSAGE_BYTES) as listener:
@@ -114,9 +114,9 @@
             link.unanswered = 0
 
     def _record_timeout(self, to: PeerAddress) -> None:
-        # A cut that drops packets leaves the connection open, and its retransmissions wait longer
-        # and longer, up to two minutes: after a long cut the link would be mute that much longer
-        # than the cut. A fresh connection finds out at once.
+        # A network cut that drops packets leaves the connection open, and the intervals of its
+        # retransmissions grow up to two minutes: after a long cut the link would stay silent for
+        # that much longer. A new connection works at once when the cut ends.
         key = (to.address, to.port)
         link = self._links.get(key)
         if link is None or self._monotonic() - link.opened_at < MIN_REDIAL_AGE_S:
--- a/src/wagtailpoint/adapters/platform_http.py
+++ b/src/wagtailpoint/adapters/platform_http.py
@@ -1,4 +1,4 @@
-"""The platform's object API over HTTP: the paths and bodies of its calls."""
+"""Client of the platform's object API over HTTP: paths and bodies of its calls."""
 
 from collections.abc import Sequence
 from http import HTTPStatus
@@ -66,12 +66,12 @@
 
 
 class HttpPlatform:
-    """The object API at one of several addresses; the next is tried when one is down.
+    """Client of the object API at several addresses; tries the next when one is down.
 
     Args:
-        addresses: Where the platform listens, as (address, port).
-        timeout_s: The longest that a call may take, in seconds, over all addresses; a watch may
-            take its waiting time more.
+        addresses: The addresses on which the platform listens, as (address, port).
+        timeout_s: Maximum duration of a call over all addresses, in seconds; a watch may take its
+            waiting time in addition.
     """
 
     def __init__(self, *, addresses: Sequence[tuple[str, int]], timeout_s: float) -> None:
@@ -95,13 +95,13 @@
     async def get(
         self, *, kind: str, name: str
     ) -> Result[StoredObject | None, PlatformUnavailable]:
-        """Read one object; None if there is none."""
+        """Read one object; None if it does not exist."""
         outcome = await self._calls.read(Call("GET", _object_path(kind, name)))
         if isinstance(outcome, Err):
             return outcome
         answer = outcome.ok_value
-        # Only the platform's own `null` says that there is no object: the 404 of something in
-        # between would otherwise read as "deleted".
+        # Only the platform's own `null` shows that the object does not exist: the 404 of an
+        # intermediary would otherwise be taken for a deletion.
         if answer.status == HTTPStatus.NOT_FOUND and answer.body == b"null":
             return Ok(None)
         if answer.status != HTTPStatus.OK:
@@ -113,7 +113,7 @@
     async def list(
         self, *, kind: str, may_be_stale: bool = False
     ) -> Result[Listing, PlatformUnavailable]:
-        """Read all objects of a kind; this store knows only its newest state."""
+        """Read all objects of a kind; ``may_be_stale`` has no effect on this store."""
         outcome = await self._calls.read(Call("GET", f"/objects/{_quoted(kind)}"))
         return outcome.and_then(lambda answer: decode_answer(answer, _WireListing)).map(
             lambda wire: Listing(
@@ -175,7 +175,11 @@
         written = decode_answer(answer, _WireWritten)
         if isinstance(written, Ok) and _is_about(written.ok_value, kind, name):
             return written
-        return Err(OutcomeUnknown(f"{call.method} {call.target}: {answer.status}, no clear answer"))
+        return Err(
+            OutcomeUnknown(
+                f"{call.method} {call.target}: status {answer.status} without a valid result"
+            )
+        )
 
 
 def _quoted(part: str) -> str:
@@ -187,7 +191,7 @@
 
 
 def _is_about(wire: _WireObject | _WireWritten, kind: str, name: str) -> bool:
-    """Whether an answer is about the object asked for; a crossed answer is not."""
+    """Return whether an answer is for the requested object, not for another request."""
     return (wire["kind"], wire["name"]) == (kind, name)
 
 
@@ -195,7 +199,9 @@
     wire: _WireObject, kind: str, name: str
 ) -> Result[StoredObject | None, PlatformUnavailable]:
     if not _is_about(wire, kind, name):
-        return Err(PlatformUnavailable(f"asked for {kind}/{name}, answered {wire['name']}"))
+        return Err(
+            PlatformUnavailable(f"requested {kind}/{name}, the answer is for {wire['name']}")
+        )
     return Ok(StoredObject(**wire))
 
 
@@ -205,7 +211,7 @@
     try:
         current = msgspec.json.decode(answer.body, type=_WireObject | None)
     except msgspec.DecodeError as error:
-        return Err(OutcomeUnknown(f"the platform's conflict can't be read: {error}"))
+        return Err(OutcomeUnknown(f"the platform's answer to a conflict can't be decoded: {error}"))
     if current is not None and not _is_about(current, kind, name):
-        return Err(OutcomeUnknown(f"wrote {kind}/{name}, answered {current['name']}"))
+        return Err(OutcomeUnknown(f"wrote {kind}/{name}, the answer is for {current['name']}"))
     return Err(Conflict(StoredObject(**current) if current else None))
--- a/tests/cover/test_backend_http.py
+++ b/tests/cover/test_backend_http.py
@@ -1,4 +1,4 @@
-"""The verdicts of exchanges with a backend server, compared with its own record of what ran."""
+"""Verdicts of exchanges with a backend server, compared with its record of executed requests."""
 
 import unittest
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -43,8 +43,8 @@
     return plain._replace(**fields)
 
 
-class ExchangeFixture:
-    """A stand-in in this process and an adapter that talks to it."""
+class Fixture:
+    """A stand-in backend server in this process and an adapter that sends requests to it."""
 
     def __init__(self, *, worker: Worker, server: BackendAddress, proxy: FaultProxy) -> None:
         self.worker = worker
@@ -69,7 +69,7 @@
         return answered
 
 
-def run_with_standin(test: Callable[[ExchangeFixture], Awaitable[None]]) -> None:
+def run_with_standin(test: Callable[[Fixture], Awaitable[None]]) -> None:
     async def run() -> None:
         worker, host = Worker(service_ms=1.0), loopback_address()
         proxy = FaultProxy(listen=Address(host, PROXY_PORT), target=Address(host, PORT))
@@ -77,9 +77,7 @@
             async with trio.open_nursery() as nursery:
                 await nursery.start(partial(serve_worker, worker, host, PORT))
                 await nursery.start(proxy.serve)
-                await test(
-                    ExchangeFixture(worker=worker, server=BackendAddress(host, PORT), proxy=proxy)
-                )
+                await test(Fixture(worker=worker, server=BackendAddress(host, PORT), proxy=proxy))
                 nursery.cancel_scope.cancel()
 
     trio.run(run)
@@ -87,7 +85,7 @@
 
 class ExchangeTest(unittest.TestCase):
     def test_answer_and_reuse(self) -> None:
-        async def test(fixture: ExchangeFixture) -> None:
+        async def test(fixture: Fixture) -> None:
             for number in range(3):
                 answered = await fixture.ask(request_of(f"r{number}"))
                 assert not isinstance(answered, BackendFailure)
@@ -102,7 +100,7 @@
             for _ in range(40):
                 yield b"x" * 10_000
 
-        async def test(fixture: ExchangeFixture) -> None:
+        async def test(fixture: Fixture) -> None:
             answered = await fixture.ask(request_of("up", body=chunks(), target="/bulk/300000"))
             assert not isinstance(answered, BackendFailure)
             self.assertEqual(answered[1], bulk_bytes(0, 300_000))
@@ -111,7 +109,7 @@
         run_with_standin(test)
 
     def test_deadline_is_passed_on_reduced_and_hop_by_hop_headers_are_not(self) -> None:
-        async def test(fixture: ExchangeFixture) -> None:
+        async def test(fixture: Fixture) -> None:
             headers = [
                 (b"Connection", b"close, x-mine"),
                 (b"X-Mine", b"1"),
@@ -127,7 +125,7 @@
         run_with_standin(test)
 
     def test_probe(self) -> None:
-        async def test(fixture: ExchangeFixture) -> None:
+        async def test(fixture: Fixture) -> None:
             fixture.worker.mode = Mode(report={"queued": 7}, draining=True)
             report = (await fixture.backends.probe(fixture.server, timeout_s=5)).unwrap()
             self.assertEqual(report, (0, 7, 3, True, True))
@@ -140,7 +138,7 @@
 
 class VerdictOfExchangeTest(unittest.TestCase):
     def _check(self, mode: Mode, verdict: Verdict, reason: FailureReason, ran: int) -> None:
-        async def test(fixture: ExchangeFixture) -> None:
+        async def test(fixture: Fixture) -> None:
             fixture.worker.mode = mode
             failure = await fixture.failure(request_of("r", deadline_s=0.3))
             self.assertEqual((failure.verdict, failure.reason), (verdict, reason))
@@ -151,7 +149,7 @@
         run_with_standin(test)
 
     def test_refused_connection(self) -> None:
-        """Nobody listens: the refusal of the connection proves that nothing ran."""
+        """No process listens: the refused connection proves that nothing ran."""
 
         async def run() -> None:
             server = BackendAddress(loopback_address(), PORT)
@@ -164,41 +162,41 @@
         trio.run(run)
 
     def test_reset_after_run(self) -> None:
-        """A release is paid, then the backend server dies before it answers.
+        """The backend server runs the request, then resets the connection before it answers.
 
-        The reset looks just like one before the run; "not run" here would pay it twice.
+        The reset looks like one before the run; `not-run` would let a release be paid twice.
         """
         may = Verdict.MAY_HAVE_RUN
         self._check(Mode(reset_after=1), may, FailureReason.RESET, ran=1)
 
     def test_reset_before_run(self) -> None:
-        """The same reset, but nothing ran: the entry can't know it."""
+        """The same reset although nothing ran: the entry can't tell the difference."""
         may = Verdict.MAY_HAVE_RUN
         self._check(Mode(reset_before=1), may, FailureReason.RESET, ran=0)
 
     def test_shed(self) -> None:
-        """A draining backend server says itself that it did not run the request."""
+        """A draining backend server states that it did not run the request."""
         self._check(Mode(draining=True), Verdict.NOT_RUN, FailureReason.SHED, ran=0)
 
     def test_timeout(self) -> None:
-        """The deadline passes while the request runs."""
+        """The deadline passes while the request is running."""
         may = Verdict.MAY_HAVE_RUN
         self._check(Mode(slow=1e6, deaf=True), may, FailureReason.TIMEOUT, ran=1)
 
     def test_crossed_answer(self) -> None:
-        """The answer bears another request's id: it is some other family's deposit."""
+        """The answer has the id of another request and must not reach the caller."""
         may = Verdict.MAY_HAVE_RUN
         self._check(Mode(cross=1), may, FailureReason.CROSSED_ANSWER, ran=1)
 
     def test_missing_id(self) -> None:
-        """A service that repeats ids answers without one."""
+        """A service that echoes request ids answers without one."""
         may = Verdict.MAY_HAVE_RUN
         self._check(Mode(no_id=1), may, FailureReason.CROSSED_ANSWER, ran=1)
 
-    def test_bare_503_is_a_response(self) -> None:
-        """A 503 that does not say "not run" may come after the run."""
+    def test_503_without_shed_header_is_a_response(self) -> None:
+        """A 503 without the "not run" header may have been sent after the run."""
 
-        async def test(fixture: ExchangeFixture) -> None:
+        async def test(fixture: Fixture) -> None:
             fixture.worker.mode = Mode(bare_503=1)
             answered = await fixture.ask(request_of("r"))
             assert not isinstance(answered, BackendFailure)
@@ -208,9 +206,9 @@
         run_with_standin(test)
 
     def test_truncated_body(self) -> None:
-        """A certificate ends one byte early, or half-way, and must not look whole."""
+        """A body that ends one byte early, or half-way, must not look complete."""
 
-        async def test(fixture: ExchangeFixture) -> None:
+        async def test(fixture: Fixture) -> None:
             for mode in (Mode(short_body=1), Mode(die_in_body=1)):
                 fixture.worker.mode = mode
                 with self.assertRaises(BodyBroken):
@@ -220,9 +218,9 @@
         run_with_standin(test)
 
     def test_shed_answer_of_another_request(self) -> None:
-        """A shed answer without our id may be another request's, while ours runs."""
+        """A shed answer without the request's id may belong to another request."""
 
-        async def test(fixture: ExchangeFixture) -> None:
+        async def test(fixture: Fixture) -> None:
             fixture.worker.mode = Mode(draining=True, no_id=1)
             failure = await fixture.failure(request_of("r", echoes_request_id=False))
             self.assertEqual((failure.verdict, failure.shed), (Verdict.MAY_HAVE_RUN, True))
@@ -232,13 +230,13 @@
 
 class ConnectionsTest(unittest.TestCase):
     def test_cancelled_exchange_closes_its_connection(self) -> None:
-        """A caller gets the answer to a request that was given up before.
+        """Guards against a caller that gets the answer to an earlier, cancelled request.
 
-        A request is cancelled; its connection goes back to the pool; its answer comes late and is
-        read as the answer to the next request on that connection.
+        If the connection of a cancelled request returns to the pool, the late answer is read as
+        the answer to the next request on that connection.
         """
 
-        async def test(fixture: ExchangeFixture) -> None:
+        async def test(fixture: Fixture) -> None:
             fixture.worker.mode = Mode(slow=1e6, deaf=True)
             with trio.move_on_after(0.1):
                 await fixture.ask(request_of("given-up", echoes_request_id=False))
@@ -247,14 +245,14 @@
 
         run_with_standin(test)
 
-    def test_exchange_outlives_the_configuration(self) -> None:
-        """Sockets pile up to backend servers that left the configuration.
+    def test_exchange_of_a_removed_backend_server_closes_its_connection(self) -> None:
+        """Guards against a leak of sockets to backend servers removed from the configuration.
 
-        A download goes on while its backend server leaves; its connection went back to a pool
-        that nobody looked at any more.
+        A download outlives its backend server's configuration; its connection must not return to
+        a pool that is never used or closed again.
         """
 
-        async def test(fixture: ExchangeFixture) -> None:
+        async def test(fixture: Fixture) -> None:
             request = request_of("r", target="/bulk/1000000")
             pool = fixture.backends._pool(fixture.server)
             async with fixture.backends.exchange(fixture.server, request) as answered:
@@ -266,9 +264,9 @@
         run_with_standin(test)
 
     def test_body_left_unread_closes_its_connection(self) -> None:
-        """A download is given up half-way; its rest must not be read by the next request."""
+        """The rest of an abandoned download must not be read by the next request."""
 
-        async def test(fixture: ExchangeFixture) -> None:
+        async def test(fixture: Fixture) -> None:
             request = request_of("r", target="/bulk/1000000")
             async with fixture.backends.exchange(fixture.server, request) as answered:
                 body = answered.unwrap().body
@@ -279,12 +277,12 @@
 
         run_with_standin(test)
 
-    def test_unasked_second_answer(self) -> None:
-        """A landlord sees another deposit, though each request was answered once.
+    def test_unsolicited_second_answer(self) -> None:
+        """Guards against a caller that gets the answer to another request.
 
-        A backend server that doesn't repeat ids sends one answer too many, in the same packet as
-        the right one. httpcore keeps it in its parser, calls the connection idle, and gives it as
-        the answer to the next request.
+        A backend server that doesn't echo ids sends an additional answer in the same packet as
+        the right one. httpcore keeps it in its parser, reports the connection as idle, and returns
+        it as the answer to the next request.
         """
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n"
 
@@ -293,7 +291,7 @@
                 async for _ in stream:
                     await stream.send_all(answer + b"right" + answer + b"other")
 
-        async def test(fixture: ExchangeFixture) -> None:
+        async def test(fixture: Fixture) -> None:
             async with trio.open_nursery() as nursery:
                 server = fixture.server._replace(port=OTHER_PORT)
                 await nursery.start(
@@ -310,9 +308,9 @@
         run_with_standin(test)
 
     def test_crossed_connections(self) -> None:
-        """Two answers change places on their way: neither may reach a caller."""
+        """Two answers are exchanged in transit: neither may reach a caller."""
 
-        async def test(fixture: ExchangeFixture) -> None:
+        async def test(fixture: Fixture) -> None:
             await fixture.proxy.cross_answers()
             failures: list[object] = []
 
@@ -329,9 +327,9 @@
         run_with_standin(test)
 
     def test_dropped_answer(self) -> None:
-        """The request passes, its answer is lost with the connection."""
+        """The request arrives, but its answer is lost with the connection."""
 
-        async def test(fixture: ExchangeFixture) -> None:
+        async def test(fixture: Fixture) -> None:
             await fixture.proxy.drop_answers(times=1)
             failure = await fixture.ask(request_of("r"), fixture.proxied)
             reset = BackendFailure(Verdict.MAY_HAVE_RUN, FailureReason.RESET)
@@ -340,9 +338,9 @@
         run_with_standin(test)
 
     def test_late_answer(self) -> None:
-        """The answer comes after the deadline; the next request gets its own answer."""
+        """An answer after the deadline must not reach the next request."""
 
-        async def test(fixture: ExchangeFixture) -> None:
+        async def test(fixture: Fixture) -> None:
             await fixture.proxy.freeze()
             failure = await fixture.ask(request_of("late", deadline_s=0.2), fixture.proxied)
             timeout = BackendFailure(Verdict.MAY_HAVE_RUN, FailureReason.TIMEOUT)
@@ -355,9 +353,9 @@
         run_with_standin(test)
 
     def test_stalled_body(self) -> None:
-        """A backend server freezes within a download; its slot must not be held forever."""
+        """A backend server that freezes within a download must not hold its slot forever."""
 
-        async def test(fixture: ExchangeFixture) -> None:
+        async def test(fixture: Fixture) -> None:
             request = request_of("r", target="/bulk/9000000")
             async with fixture.backends.exchange(fixture.proxied, request) as answered:
                 body = aiter(answered.unwrap().body)
@@ -371,13 +369,13 @@
         run_with_standin(test)
 
     def test_connections_closed_while_idle(self) -> None:
-        """Every other release ends in `may-have-run` although the backend servers are well.
+        """Guards against needless `may-have-run` with backend servers that close idle connections.
 
-        They close a connection as soon as it is idle. The next request leaves on it before the
-        close arrives, and its reset can't be told from one after the run.
+        They close a connection as soon as it is idle. The next request is sent on it before the
+        close arrives, and the resulting reset can't be told from one after the run.
         """
 
-        async def test(fixture: ExchangeFixture) -> None:
+        async def test(fixture: Fixture) -> None:
             fixture.worker.mode = Mode(idle_close_s=0.0)
             await fixture.proxy.delay(0.02)
             answers = [await fixture.ask(request_of(f"r{i}"), fixture.proxied) for i in range(20)]
@@ -388,8 +386,8 @@
 
         run_with_standin(test)
 
-    def test_rested_connection_is_not_used_for_a_release(self) -> None:
-        async def test(fixture: ExchangeFixture) -> None:
+    def test_long_idle_connection_is_not_used_for_a_non_idempotent_request(self) -> None:
+        async def test(fixture: Fixture) -> None:
             await fixture.ask(request_of("a"))
             pool = fixture.backends._pool(fixture.server)
             pool._idle[-1].idle_since -= SAFE_IDLE_S + 0.1
--- a/tests/cover/test_http_server.py
+++ b/tests/cover/test_http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server alone, with a scripted handler, over real sockets."""
+"""The HTTP server with a scripted handler, over real sockets."""
 
 import json
 import socket
@@ -26,7 +26,7 @@
     leaving = False
 
     def serve(self, handler: Handler, client_script: Callable[[], Awaitable[None]]) -> None:
-        """Run a server, use it, stop it; the stop has to end by itself."""
+        """Run a server, run a client against it, then stop it; the server has to end by itself."""
         self.address = loopback_address()
         self.stop = trio.Event()
         options = ServerOptions(
@@ -57,11 +57,11 @@
 
         trio.run(run)
 
-    def test_connection_opened_just_before_the_end_is_still_answered(self) -> None:
-        """Symptom: a request on its way during a planned stop is told `may-have-run`.
+    def test_connection_opened_just_before_the_stop_is_answered(self) -> None:
+        """Guards against `may-have-run` for a request in transit during a planned stop.
 
-        Sequence: a caller connects; the server ends in that moment; the caller sends its request.
-        Cause: connections without a request were closed at once, and the request met a reset.
+        A caller connects, the server stops, and the caller sends its request. If connections
+        without a request are closed at once, the request meets a reset.
         """
 
         async def handler(request: CallerRequest, reply: AsgiReply) -> None:
@@ -80,11 +80,12 @@
         self.leaving = True
         self.serve(handler, client_script)
 
-    def test_connections_that_wait_in_the_kernel_at_the_end_are_still_answered(self) -> None:
-        """Symptom: beside load, one of a hundred requests in a planned stop is told `may-have-run`.
+    def test_connections_queued_in_the_kernel_at_the_stop_are_answered(self) -> None:
+        """Guards against `may-have-run` for a request during a planned stop under load.
 
-        Sequence: callers connect and send while the process is busy; then it stops accepting.
-        Cause: the kernel had accepted them, the process had not; closing the socket reset them.
+        One in a hundred requests was affected: callers connect and send while the process is busy,
+        then the process stops accepting. The kernel has accepted these connections, the process
+        has not, and closing the listening socket resets them.
         """
 
         async def handler(request: CallerRequest, reply: AsgiReply) -> None:
@@ -94,7 +95,7 @@
         async def client_script() -> None:
             callers = []
             for _ in range(5):
-                # Without an await in between: the server's task gets no turn.
+                # Without an await in between, so that the server's task can't run.
                 caller = socket.create_connection((self.address, PORT))
                 caller.sendall(GET)
                 caller.setblocking(False)
@@ -109,7 +110,7 @@
         self.serve(handler, client_script)
 
     async def ask(self, request: bytes) -> bytes:
-        """Everything that comes until the connection ends; a reset is an error."""
+        """Return all bytes received until the connection ends; a reset raises an error."""
         stream = await trio.open_tcp_stream(self.address, PORT)
         async with stream:
             await stream.send_all(request)
@@ -118,7 +119,7 @@
                 data += received
             return data
 
-    def test_answers_without_body_bear_none(self) -> None:
+    def test_answers_without_body_have_none(self) -> None:
         async def handler(request: CallerRequest, reply: AsgiReply) -> None:
             status = 204 if request.path == "/204" else 304
             await reply.begin(status=status, headers=[], verdict=Verdict.RAN)
@@ -133,12 +134,12 @@
 
         self.serve(handler, client_script)
 
-    def test_broken_reply_never_looks_whole(self) -> None:
-        """A reply that broke off is cut so that its caller notices.
+    def test_truncated_reply_never_looks_complete(self) -> None:
+        """Guards against a truncated body that looks complete to its caller.
 
-        Symptom: an agent's certificate is short, and nobody notices. Sequence: a backend server
-        dies in the middle of a body; the entry ends the reply. Cause: for a caller of HTTP/1.0 the
-        regular end of a body without a length is the end of the connection.
+        A backend server fails in the middle of a body, and the entry ends the reply. For an
+        HTTP/1.0 caller, the end of the connection is the regular end of a body without a length,
+        so the connection has to be reset instead.
         """
 
         async def handler(request: CallerRequest, reply: AsgiReply) -> None:
@@ -158,7 +159,7 @@
 
         self.serve(handler, client_script)
 
-    def test_fault_of_a_handler_is_answered_and_ends_nothing_else(self) -> None:
+    def test_handler_error_is_answered_and_affects_no_other_request(self) -> None:
         async def handler(request: CallerRequest, reply: AsgiReply) -> None:
             raise ZeroDivisionError("test")
 
@@ -172,12 +173,11 @@
 
         self.serve(handler, client_script)
 
-    def test_malformed_rest_of_a_body_is_not_called_not_run(self) -> None:
-        """A request that the application already has may run, whatever its last bytes are.
+    def test_malformed_rest_of_a_body_is_not_reported_as_not_run(self) -> None:
+        """Guards against a `not-run` for a request that ran.
 
-        Symptom: a refusal says that nothing ran, and the release was paid. Sequence: the entry
-        passes a body on as it arrives; its next chunk is malformed. Cause: the error is answered
-        like one in the headers.
+        The entry forwards a body as it arrives, then a malformed chunk follows. The application
+        has the request already, so the error must not be answered like one in the headers.
         """
 
         async def handler(request: CallerRequest, reply: AsgiReply) -> None:
@@ -194,11 +194,10 @@
         self.serve(handler, client_script)
 
     def test_leaving_instance_ends_the_connection_with_the_reply(self) -> None:
-        """A caller does not send its next request to an instance that is just closing.
+        """Guards against a reset, and so `may-have-run`, during a planned stop.
 
-        Symptom: a reset, and so `may-have-run`, during a planned stop. Sequence: the instance
-        stops and closes its idle connections; a caller sends on one of them at that moment. Cause:
-        the replies before did not say that the connection would be closed.
+        The instance closes its idle connections while a caller sends a request on one of them.
+        The replies have to announce the close, so that callers don't reuse the connection.
         """
 
         async def handler(request: CallerRequest, reply: AsgiReply) -> None:
@@ -215,7 +214,7 @@
 
         self.serve(handler, client_script)
 
-    def test_stop_ends_idle_connections_and_finishes_replies(self) -> None:
+    def test_stop_closes_idle_connections_and_finishes_replies(self) -> None:
         async def handler(request: CallerRequest, reply: AsgiReply) -> None:
             await reply.begin(status=200, headers=TEN_BYTES, verdict=Verdict.RAN)
             self.stop.set()
--- a/tests/cover/test_peers.py
+++ b/tests/cover/test_peers.py
@@ -1,4 +1,4 @@
-"""Messages between instances: envelopes, drops, requests; in memory and over real sockets."""
+"""Messages between instances: envelopes, drops and requests, in memory and over sockets."""
 
 import unittest
 from random import Random
@@ -82,12 +82,12 @@
 
         self.run_pair(scenario)
 
-    def test_message_for_the_former_process_is_dropped(self) -> None:
-        """A restarted instance acts on a message that was meant for the process before it.
+    def test_message_for_the_previous_process_is_dropped(self) -> None:
+        """Guards against a restarted instance that handles a message for the previous process.
 
-        Sequence: a message is buffered while its receiver is frozen; the receiver is replaced at
-        the same address; the link reconnects and delivers. Cause: an address alone does not name
-        a process.
+        A message is buffered while its receiver is frozen; the receiver is replaced at the same
+        address; the link reconnects and delivers the message. An address alone does not identify a
+        process.
         """
 
         async def scenario(network: FakeNetwork, first: Peers, second: Peers) -> None:
@@ -99,15 +99,16 @@
 
         self.run_pair(scenario)
 
-    def test_what_cannot_be_understood_is_counted_and_ignored(self) -> None:
-        """An instance of another version, or a stray program, ends the receiving task.
+    def test_invalid_messages_are_counted_and_ignored(self) -> None:
+        """Guards against invalid messages that end the receiving task.
 
-        Sequence: bytes that are no envelope, a kind without a handler and a handler that fails
-        arrive, then a good message. Cause: an error that leaves the receiving loop.
+        Instances of another version and unrelated programs may send bytes that are no envelope, a
+        kind without a handler, or a message on which the handler fails. An error that leaves the
+        receiving loop would stop the valid messages after it.
         """
 
         def fail(received: Received) -> None:
-            raise RuntimeError("a fault of a handler")
+            raise RuntimeError("handler failed")
 
         async def scenario(network: FakeNetwork, first: Peers, second: Peers) -> None:
             second.handle(Question, answer)
@@ -125,7 +126,7 @@
 
         self.run_pair(scenario)
 
-    def test_oversized_message_is_refused_here(self) -> None:
+    def test_oversized_message_is_refused_by_the_sender(self) -> None:
         async def scenario(network: FakeNetwork, first: Peers, second: Peers) -> None:
             self.assertFalse(first.send(second.address, Question("x" * MOST_MESSAGE_BYTES)))
             self.assertEqual(first.counts.dropped, {"too-large": 1})
@@ -170,8 +171,8 @@
 
         trio.run(main)
 
-    def test_young_link_is_kept_and_a_mute_one_is_dialled_anew(self) -> None:
-        """Guards against a link to a far peer that is closed each time before it has opened."""
+    def test_new_link_is_kept_and_an_unresponsive_one_is_redialled(self) -> None:
+        """Guards against a link to a distant peer that is closed each time before it has opened."""
 
         async def main() -> None:
             clock = FakeClock()
@@ -191,10 +192,10 @@
         trio.run(main)
 
     def test_full_link_drops_and_never_blocks(self) -> None:
-        """A sender stands still because one of its peers does.
+        """Guards against a sender that is blocked by one of its peers.
 
-        Sequence: the receiver is frozen or gone, and the sender goes on sending. Cause: a send
-        that waits for room in the buffers of the link.
+        The receiver is frozen or gone and the sender goes on sending: a send must not wait for
+        room in the buffers of the link.
         """
 
         async def main() -> None:
--- a/tests/cover/test_platform_http.py
+++ b/tests/cover/test_platform_http.py
@@ -1,4 +1,4 @@
-"""What the HTTP adapter says of answers that are broken, crossed or somebody else's."""
+"""How the HTTP adapter reports answers that are broken, crossed or from an intermediary."""
 
 import random
 import unittest
@@ -27,7 +27,7 @@
 
 
 class ScriptedServer:
-    """A server that gives each connection one answer and closes it."""
+    """A server that sends one answer on each connection and closes it."""
 
     def __init__(self, answer: bytes) -> None:
         numbers = random.SystemRandom()
@@ -78,11 +78,11 @@
 
 
 class WriteTest(unittest.TestCase):
-    def test_whatever_is_no_clear_answer_leaves_the_outcome_unknown(self) -> None:
-        """Symptom: a change reported as "certainly not made" was in force.
+    def test_invalid_answer_leaves_the_outcome_unknown(self) -> None:
+        """Guards against a write that took effect but is reported as certainly not made.
 
-        Sequence: the write took effect, and its answer was broken off, was another request's, or
-        was an error page. Cause: taking every answer but success for a refusal.
+        The answer to the write is truncated, belongs to another request or is an error page. Only
+        an explicit refusal proves that the write had no effect, not every other answer.
         """
         for answer in (
             http(500, b"null"),
@@ -101,7 +101,7 @@
                 self.assertIsInstance(call_platform(servers, put).unwrap_err(), OutcomeUnknown)
                 self.assertEqual([server.requests for server in servers], [1, 0])
 
-    def test_clear_answers(self) -> None:
+    def test_valid_answers(self) -> None:
         stored = StoredObject("thing", "x", 7, [1])
         self.assertEqual(call_platform([ScriptedServer(http(200, WRITTEN))], put).unwrap(), stored)
         self.assertEqual(
@@ -118,17 +118,17 @@
             assert isinstance(error, PlatformUnavailable)
             self.assertEqual(error.retry_after_s, 3.0)
 
-    def test_a_server_that_refuses_is_passed_over(self) -> None:
+    def test_next_server_is_tried_after_a_refusal(self) -> None:
         servers = [ScriptedServer(http(503, b"")), ScriptedServer(http(200, WRITTEN))]
         self.assertTrue(call_platform(servers, put).is_ok())
 
 
 class ReadTest(unittest.TestCase):
-    def test_a_page_that_is_not_the_platforms_does_not_say_that_an_object_is_gone(self) -> None:
-        """Symptom: instances took the configuration for deleted.
+    def test_foreign_404_page_does_not_mean_that_an_object_is_deleted(self) -> None:
+        """Guards against instances that take the configuration for deleted.
 
-        Sequence: something between answered 404 with its own page. Cause: every 404 was read as
-        "no such object".
+        An intermediary answers 404 with its own page; only the platform's 404 shows that an object
+        does not exist.
         """
         for answer in (http(404, b"<html>"), http(200, CROSSED), http(200, b"{}"), b""):
             with self.subTest(answer=answer):
@@ -137,6 +137,6 @@
                 )
         self.assertIsNone(call_platform([ScriptedServer(http(404, b"null"))], get).unwrap())
 
-    def test_a_broken_read_is_asked_again_elsewhere(self) -> None:
+    def test_broken_read_is_retried_at_the_next_address(self) -> None:
         servers = [ScriptedServer(b""), ScriptedServer(http(200, OBJECT))]
         self.assertEqual(call_platform(servers, get).unwrap(), StoredObject("thing", "x", 7, [1]))
--- a/tests/nocover/test_verdicts_under_faults.py
+++ b/tests/nocover/test_verdicts_under_faults.py
@@ -1,4 +1,4 @@
-"""No verdict contradicts the record of what ran, under every mixture of faults."""
+"""Verdicts agree with the backend server's record of executed requests under random faults."""
 
 import random
 import unittest
@@ -19,27 +19,27 @@
 PORT = 9100
 PROXY_PORT = 9001
 USERS = 20
-REQUESTS_OF_A_USER = 40
-PAUSE_S = 0.03
+REQUESTS_PER_USER = 40
+MEAN_PAUSE_S = 0.03
 
 
-class Promises:
-    """What was said of each request, to be compared with the backend server's record."""
+class ReportedOutcomes:
+    """The outcome reported for each request, for comparison with the backend server's record."""
 
     def __init__(self) -> None:
         self.not_run: set[str] = set()
         self.may_have_run: set[str] = set()
         self.answered: set[str] = set()
-        self.broken: list[str] = []
+        self.wrong_answers: list[str] = []
 
 
-async def use(
-    backends: HttpBackends, server: BackendAddress, user: int, seed: int, promises: Promises
+async def run_user(
+    backends: HttpBackends, server: BackendAddress, user: int, seed: int, reported: ReportedOutcomes
 ) -> None:
-    choose = random.Random(seed * 1000 + user)
-    for number in range(REQUESTS_OF_A_USER):
+    rng = random.Random(seed * 1000 + user)
+    for number in range(REQUESTS_PER_USER):
         request_id = f"{user}-{number}"
-        deadline_s = choose.choice([0.005, 0.05, 0.3])
+        deadline_s = rng.choice([0.005, 0.05, 0.3])
         request = BackendRequest(
             request_id=request_id,
             method="POST",
@@ -47,29 +47,29 @@
             headers=[(b"Idempotency-Key", request_id.encode())],
             body=None,
             deadline_s=deadline_s,
-            idempotent=choose.random() < 0.5,
+            idempotent=rng.random() < 0.5,
             echoes_request_id=True,
         )
-        await trio.sleep(choose.expovariate(1 / PAUSE_S))
-        with trio.move_on_after(choose.choice([0.01, 1.0, 1.0])):
+        await trio.sleep(rng.expovariate(1 / MEAN_PAUSE_S))
+        with trio.move_on_after(rng.choice([0.01, 1.0, 1.0])):
             async with backends.exchange(server, request) as answered:
                 if isinstance(answered, Err):
                     may_have_run = answered.err_value.verdict is Verdict.MAY_HAVE_RUN
-                    (promises.may_have_run if may_have_run else promises.not_run).add(request_id)
+                    (reported.may_have_run if may_have_run else reported.not_run).add(request_id)
                     continue
                 try:
                     body = b"".join([chunk async for chunk in answered.ok_value.body])
                 except BodyBroken:
                     continue
-                promises.answered.add(request_id)
+                reported.answered.add(request_id)
                 if f'"request_id": "{request_id}"'.encode() not in body:
-                    promises.broken.append(f"{request_id} was answered {body!r}")
+                    reported.wrong_answers.append(f"{request_id} was answered {body!r}")
 
 
-async def disturb(proxy: FaultProxy, choose: random.Random) -> None:
+async def inject_faults(proxy: FaultProxy, rng: random.Random) -> None:
     while True:
         await proxy.pass_through()
-        await trio.sleep(choose.uniform(0.02, 0.1))
+        await trio.sleep(rng.uniform(0.02, 0.1))
         faults: list[Callable[[], Awaitable[None]]] = [
             proxy.cut,
             proxy.freeze,
@@ -80,17 +80,17 @@
             partial(proxy.half_cut, "to-server"),
             partial(proxy.half_cut, "to-client"),
         ]
-        await choose.choice(faults)()
-        await trio.sleep(choose.uniform(0.02, 0.1))
+        await rng.choice(faults)()
+        await trio.sleep(rng.uniform(0.02, 0.1))
 
 
 class VerdictsUnderFaultsTest(unittest.TestCase):
     def _run(self, seed: int) -> None:
         async def run() -> None:
-            worker, host, promises = (
+            worker, host, reported = (
                 Worker(service_ms=2.0, queue_limit=8),
                 loopback_address(),
-                Promises(),
+                ReportedOutcomes(),
             )
             worker.mode = Mode(
                 reset_after=0.03, reset_before=0.03, cross=0.03, no_id=0.03, idle_close_s=0.02
@@ -101,26 +101,26 @@
                 async with trio.open_nursery() as nursery:
                     await nursery.start(partial(serve_worker, worker, host, PORT))
                     await nursery.start(proxy.serve)
-                    nursery.start_soon(disturb, proxy, random.Random(seed))
+                    nursery.start_soon(inject_faults, proxy, random.Random(seed))
                     async with trio.open_nursery() as users:
                         for user in range(USERS):
-                            users.start_soon(use, backends, server, user, seed, promises)
+                            users.start_soon(run_user, backends, server, user, seed, reported)
                     nursery.cancel_scope.cancel()
-            self._check(worker, promises)
+            self._check(worker, reported)
 
         trio.run(run)
 
-    def _check(self, worker: Worker, promises: Promises) -> None:
+    def _check(self, worker: Worker, reported: ReportedOutcomes) -> None:
         ran = set(worker.by_key)
-        self.assertEqual(promises.not_run & ran, set(), "said not-run, and ran")
-        self.assertEqual(promises.answered - ran, set(), "answered, and never ran")
-        self.assertEqual(promises.broken, [], "given the answer of another request")
+        self.assertEqual(reported.not_run & ran, set(), "reported not-run, but ran")
+        self.assertEqual(reported.answered - ran, set(), "answered, but never ran")
+        self.assertEqual(reported.wrong_answers, [], "got the answer of another request")
         self.assertEqual(set(worker.by_key.values()), {1}, "ran more than once")
-        # Otherwise the check above would hold for want of anything to check.
-        self.assertTrue(promises.not_run and promises.may_have_run and promises.answered)
+        # Each kind of outcome has to occur, or the checks above would prove nothing.
+        self.assertTrue(reported.not_run and reported.may_have_run and reported.answered)
 
     def test_seeds(self) -> None:
-        """A release said not to have run is sent again, and was paid twice."""
+        """Guards against a release that is reported as not run, retried and so paid twice."""
         for seed in range(5):
             with self.subTest(seed=seed):
                 self._run(seed)
