--- a/src/wagtailpoint/platform/__init__.py
+++ b/src/wagtailpoint/platform/__init__.py
@@ -1,5 +1,5 @@
-"""Translation between the users' platform and the product: settings, store, documents, headers.
+"""Translation between the users' platform and this system: settings, store, documents, headers.
 
-Nothing outside this package knows a name of the platform's wire. Each document is decoded once,
-here, into a type of the product whose fields say what they hold.
+The names of the platform's wire formats are used in this package only. Each document is decoded
+here, once, into a type of this system with descriptive field names.
 """
--- a/src/wagtailpoint/platform/documents.py
+++ b/src/wagtailpoint/platform/documents.py
@@ -1,4 +1,4 @@
-"""The documents in the platform's store, decoded into the product's types."""
+"""Decoding of the documents in the platform's store into this system's types."""
 
 from collections.abc import Collection, Sequence
 from typing import Annotated, Any, Literal
@@ -27,14 +27,14 @@
 SERVERS_KIND = "servers"
 EVACUATIONS_KIND = "evacuations"
 
-MOST_SLOTS = 100_000
-LONGEST_COLD_S = 24 * 3600.0
-"""Entries with more than this were not written by a backend server."""
+MAX_SLOTS = 100_000
+MAX_COLD_S = 24 * 3600.0
+"""Entries with larger values were not written by a backend server."""
 
-_HEADER_TEXT = "^[!-~]+$"
-"""The name of a workspace is sent in a header."""
+_HEADER_VALUE_PATTERN = "^[!-~]+$"
+"""Pattern of a workspace name, which is sent in a header."""
 
-_KINDS = {
+_ROUTE_KINDS = {
     "idempotent": RouteKind.IDEMPOTENT,
     "non_idempotent": RouteKind.NON_IDEMPOTENT,
     "download": RouteKind.DOWNLOAD,
@@ -56,7 +56,7 @@
     Priority: int = 0
     Sticky: bool = False
     HomeRegions: list[str] | None = None
-    # Callers need no key.
+    # Whether callers need no key.
     Public: bool = False
     Service: str | None = None
     Split: list[_Part] | None = None
@@ -65,7 +65,7 @@
 class _VirtualHost(msgspec.Struct):
     Host: str
     PathRoutes: list[_Route]
-    # The homes of a whole tenant, which bind together with those of its routes.
+    # Home regions of the whole host, intersected with those of its routes.
     HomeRegions: list[str] | None = None
 
 
@@ -80,9 +80,9 @@
 class _Tenant(msgspec.Struct):
     """A workspace."""
 
-    Name: Annotated[str, msgspec.Meta(min_length=1, pattern=_HEADER_TEXT)]
+    Name: Annotated[str, msgspec.Meta(min_length=1, pattern=_HEADER_VALUE_PATTERN)]
     ApiKeys: list[str] = []
-    # Requests a second, over all instances; 0 for no limit.
+    # Requests per second over all instances; 0 means no limit.
     RatePerS: Annotated[float, msgspec.Meta(ge=0)] = 0.0
     Burst: Annotated[float, msgspec.Meta(ge=0)] = 0.0
     Priority: int | None = None
@@ -111,36 +111,36 @@
     Service: Annotated[str, msgspec.Meta(min_length=1)]
     Address: str
     Zone: str
-    # Slots: requests that are worked on at the same time.
-    MaxConcurrency: Annotated[int, msgspec.Meta(ge=1, le=MOST_SLOTS)]
+    # Slots: maximum number of concurrent requests.
+    MaxConcurrency: Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
     State: Literal["ready", "draining"]
-    ColdLeftS: Annotated[float, msgspec.Meta(ge=0, le=LONGEST_COLD_S)] = 0.0
-    # Heartbeats since the start.
+    ColdLeftS: Annotated[float, msgspec.Meta(ge=0, le=MAX_COLD_S)] = 0.0
+    # Number of heartbeats since the start.
     Sequence: _Count = 0
-    # Milliseconds since 1970 at the start.
+    # Start time in milliseconds since 1970.
     born: _Count = 0
 
 
 def decode_config(stored: StoredObject) -> Result[RouteTable, InvalidInput]:
-    """Decode a configuration."""
+    """Decode the configuration document into a route table."""
     try:
         wire = msgspec.convert(stored.value, _Config)
         version = int(wire.Version, 16)
     except (msgspec.ValidationError, ValueError) as error:
-        return Err(_unreadable(stored, error))
+        return Err(_invalid_document(stored, error))
     return Ok(
         RouteTable(
             version=version,
-            hosts=_hosts(wire.VirtualHosts),
+            hosts=_routes_by_host(wire.VirtualHosts),
             services={
-                each.Name: ServicePolicy(
-                    name=each.Name,
-                    health_path=each.HealthPath,
-                    max_connections=each.MaxConns,
-                    cold_s=each.ColdS,
-                    cold_per_s=each.ColdPerS,
+                service.Name: ServicePolicy(
+                    name=service.Name,
+                    health_path=service.HealthPath,
+                    max_connections=service.MaxConns,
+                    cold_s=service.ColdS,
+                    cold_per_s=service.ColdPerS,
                 )
-                for each in wire.Services
+                for service in wire.Services
             },
             bounds=CallerBounds(
                 header_bytes=wire.Limits.MaxHeaderBytes,
@@ -148,7 +148,7 @@
                 header_timeout_s=wire.Limits.HeaderTimeoutS,
                 idle_timeout_s=wire.Limits.IdleTimeoutS,
             ),
-            workspaces=_workspaces(wire.Tenants) if wire.Tenants else None,
+            workspaces=_workspaces_by_key(wire.Tenants) if wire.Tenants else None,
         )
     )
 
@@ -158,15 +158,15 @@
 ) -> Result[RegisteredServer, InvalidInput]:
     """Decode the entry of a backend server.
 
-    Anybody may write there: what names no backend server that could be used is an error.
+    The store is open to any writer: an entry without a usable backend server is an error.
     """
     try:
         wire = msgspec.convert(stored.value, _Server)
         address = Endpoint.parse(wire.Address)
     except (msgspec.ValidationError, ValueError) as error:
-        return Err(_unreadable(stored, error))
+        return Err(_invalid_document(stored, error))
     if wire.Zone not in failure_domains:
-        return Err(_unreadable(stored, f"failure domain {wire.Zone!r}"))
+        return Err(_invalid_document(stored, f"failure domain {wire.Zone!r}"))
     entry = ServerEntry(
         server_id=stored.name,
         service=wire.Service,
@@ -180,58 +180,58 @@
     return Ok(RegisteredServer(entry, wire.Sequence))
 
 
-def _hosts(wire: Sequence[_VirtualHost]) -> dict[str, tuple[HostRoute, ...]]:
-    """The routes of each host, whose routes may stand in several entries; longest prefix first."""
+def _routes_by_host(wire: Sequence[_VirtualHost]) -> dict[str, tuple[HostRoute, ...]]:
+    """Return the routes of each host, merged over its entries and sorted by longest prefix."""
     hosts: dict[str, list[HostRoute]] = {}
     for virtual_host in wire:
         routes = hosts.setdefault(virtual_host.Host.lower(), [])
-        routes += [_route(each, virtual_host) for each in virtual_host.PathRoutes]
+        routes += [_host_route(route, virtual_host) for route in virtual_host.PathRoutes]
     return {
         host: tuple(sorted(routes, key=lambda route: -len(route.prefix)))
         for host, routes in hosts.items()
     }
 
 
-def _route(wire: _Route, virtual_host: _VirtualHost) -> HostRoute:
+def _host_route(wire: _Route, virtual_host: _VirtualHost) -> HostRoute:
     if wire.Split:
-        parts = tuple(SplitPart(each.Service, each.Weight) for each in wire.Split)
+        parts = tuple(SplitPart(part.Service, part.Weight) for part in wire.Split)
     else:
         parts = (SplitPart(wire.Service or "", 1.0),)
     return HostRoute(
         name=wire.Name,
         prefix=wire.PathPrefix,
-        kind=_KINDS[wire.Kind],
+        kind=_ROUTE_KINDS[wire.Kind],
         timeout_s=wire.TimeoutS,
         objective_s=wire.TargetLatencyS,
         priority=wire.Priority,
         max_attempts=max(1, wire.Attempts),
         sticky=wire.Sticky,
-        home_regions=_homes(wire.HomeRegions, virtual_host.HomeRegions),
+        home_regions=_common_regions(wire.HomeRegions, virtual_host.HomeRegions),
         parts=parts,
         public=wire.Public,
     )
 
 
-def _workspaces(wire: Sequence[_Tenant]) -> WorkspacesByKey:
-    """The workspaces by the digests of their keys."""
+def _workspaces_by_key(wire: Sequence[_Tenant]) -> WorkspacesByKey:
+    """Return the workspaces by the digests of their keys."""
     by_key: dict[bytes, WorkspacePolicy] = {}
-    for each in wire:
+    for tenant in wire:
         policy = WorkspacePolicy(
-            name=each.Name,
-            priority=each.Priority,
-            home_regions=_homes(each.HomeRegions),
-            allowance=Allowance(each.RatePerS, each.Burst) if each.RatePerS else None,
+            name=tenant.Name,
+            priority=tenant.Priority,
+            home_regions=_common_regions(tenant.HomeRegions),
+            allowance=Allowance(tenant.RatePerS, tenant.Burst) if tenant.RatePerS else None,
         )
-        by_key |= {key_digest(key.encode()): policy for key in each.ApiKeys}
+        by_key |= {key_digest(key.encode()): policy for key in tenant.ApiKeys}
     return by_key
 
 
-def _homes(*given: list[str] | None) -> frozenset[str] | None:
-    """The regions in all of the lists that name any, which may be none; None without such lists."""
-    lists = [frozenset(each) for each in given if each]
-    return frozenset.intersection(*lists) if lists else None
+def _common_regions(*region_lists: list[str] | None) -> frozenset[str] | None:
+    """Return the intersection of the non-empty lists, maybe empty; None if all are empty."""
+    region_sets = [frozenset(regions) for regions in region_lists if regions]
+    return frozenset.intersection(*region_sets) if region_sets else None
 
 
-def _unreadable(stored: StoredObject, error: Any) -> InvalidInput:
+def _invalid_document(stored: StoredObject, error: Any) -> InvalidInput:
     name = f"{stored.kind}/{stored.name}"
-    return InvalidInput([Mistake(name, str(error), "a document as the platform's pages show it")])
+    return InvalidInput([Mistake(name, str(error), "a document in the platform's format")])
--- a/src/wagtailpoint/platform/header_names.py
+++ b/src/wagtailpoint/platform/header_names.py
@@ -1,4 +1,4 @@
-"""The platform's header names, given to the request path as a value."""
+"""The platform's header names, passed to the request path as a value."""
 
 from typing import Final
 
@@ -14,4 +14,4 @@
     cold_ms=b"x-cold-ms",
     workspace=b"x-tenant",
 )
-"""The id is one of a caller's sends: when a caller repeats a request, it sends another id."""
+"""The request id identifies one attempt of a caller: a retry has another id."""
--- a/src/wagtailpoint/platform/pages.py
+++ b/src/wagtailpoint/platform/pages.py
@@ -1,4 +1,4 @@
-"""The calls that the platform and its callers make besides requests: readiness and lookups."""
+"""Calls of the platform and of callers other than requests: readiness checks and lookups."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -13,7 +13,7 @@
 
 
 class LookupQuestion(NamedTuple):
-    """Who asks where to connect.
+    """The location of a caller that looks up entries.
 
     Attributes:
         region: The caller's region.
@@ -30,7 +30,7 @@
 
 
 def parse_lookup(target: str) -> LookupQuestion | None:
-    """Read a lookup; None if the target is none."""
+    """Parse the target of a lookup; return None if it is no lookup."""
     parts = urlsplit(target)
     if parts.path != RESOLVE_PATH:
         return None
@@ -39,10 +39,10 @@
 
 
 def encode_lookup(entries: Sequence[Endpoint], ttl_s: float) -> bytes:
-    """Write the answer to a lookup."""
-    return msgspec.json.encode(_Resolved([str(each) for each in entries], ttl_s))
+    """Encode the answer to a lookup; the TTL is in seconds."""
+    return msgspec.json.encode(_Resolved([str(entry) for entry in entries], ttl_s))
 
 
 def is_readiness(target: str) -> bool:
-    """Whether the platform asks for readiness."""
+    """Return whether the target is the platform's readiness check."""
     return urlsplit(target).path == READY_PATH
--- a/src/wagtailpoint/platform/settings.py
+++ b/src/wagtailpoint/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes for each process."""
+"""Decoding of the settings file that the platform writes for each process."""
 
 import math
 from pathlib import Path
@@ -14,15 +14,15 @@
 SETTINGS_VARIABLE = "WAGTAILPOINT_NODE_FILE"
 
 METRICS_PORT = 9190
-"""The deploy file names it: the platform gives no port for metrics."""
+"""Fixed in the deploy file, as the platform's settings file has no port for metrics."""
 
 LINK_MBPS_PER_CORE: Final = 30.0
-"""What a core's requests bring over the link: 300 a second of 12 KB, there and back."""
+"""Link load of one core, in Mbit/s: 300 requests per second of 12 KB, in both directions."""
 
 
 class _Limits(msgspec.Struct):
     MaxFds: int
-    # The part of a core that the process gets, of cores that are ``CpuCores`` times as fast.
+    # Fraction of a core for the process, of cores that are ``CpuCores`` times as fast.
     CpuShare: Annotated[float, msgspec.Meta(gt=0, le=MAX_CAPACITY)] = 1.0
     CpuCores: Annotated[float, msgspec.Meta(gt=0, le=MAX_CAPACITY)] = 1.0
     LinkMbps: Annotated[float, msgspec.Meta(gt=0)] | None = None
@@ -67,8 +67,8 @@
     ColdSlack: float
     MaxShift: float = 1.0
     ttl_max_s: float = 5.0
-    # A key that was taken away counts no more after so many seconds, and, if strict, also on
-    # instances that are cut off.
+    # A revoked key is refused after this time, in seconds; if ``RevokeStrict`` is set, also by
+    # instances without a connection to the store.
     RevokeS: Annotated[float, msgspec.Meta(gt=0)] | None = None
     RevokeStrict: bool = False
     QuotaSlack: Annotated[float, msgspec.Meta(ge=0)] = 0.0
@@ -86,16 +86,16 @@
 
 
 def read_node_settings(path: Path) -> Result[NodeSettings, InvalidInput]:
-    """Read the platform's settings file; fields that are not known are ignored."""
+    """Read the platform's settings file; unknown fields are ignored."""
     try:
         text = path.read_bytes()
     except OSError as error:
-        return Err(InvalidInput([Mistake(str(path), str(error), "a file that can be read")]))
+        return Err(InvalidInput([Mistake(str(path), str(error), "a readable file")]))
     return decode_node_settings(text)
 
 
 def decode_node_settings(text: bytes) -> Result[NodeSettings, InvalidInput]:
-    """Decode the contents of the settings file, with every mistake that was found."""
+    """Decode the contents of the settings file; the error lists the mistakes of all sections."""
     try:
         document = msgspec.json.decode(text)
     except msgspec.DecodeError as error:
@@ -105,13 +105,13 @@
         return Err(InvalidInput(mistakes))
     wire = msgspec.convert(document, _File)
     try:
-        return Ok(_settings(wire))
+        return Ok(_to_node_settings(wire))
     except ValueError as error:
         return Err(InvalidInput([Mistake("settings", str(error), "ADDRESS:PORT")]))
 
 
 def _section_mistakes(document: Any) -> list[Mistake]:
-    """One mistake for each section that does not fit, not just the first."""
+    """Return one mistake for each invalid section, not just the first."""
     if not isinstance(document, dict):
         return [Mistake("settings", type(document).__name__, "an object")]
     mistakes = []
@@ -119,13 +119,13 @@
         try:
             msgspec.convert(document.get(field.name), field.type)
         except msgspec.ValidationError as error:
-            reason, _, where = str(error).partition(" - at ")
-            path = field.name + where.strip("`").removeprefix("$")
-            mistakes.append(Mistake(path, reason, "the field as the platform's pages show it"))
+            reason, _, location = str(error).partition(" - at ")
+            path = field.name + location.strip("`").removeprefix("$")
+            mistakes.append(Mistake(path, reason, "a field in the platform's format"))
     return mistakes
 
 
-def _settings(wire: _File) -> NodeSettings:
+def _to_node_settings(wire: _File) -> NodeSettings:
     listen = wire.Network.ListenAddrs
     bounds = wire.Terms.Bounds
     return NodeSettings(
@@ -138,7 +138,7 @@
         lookups=Endpoint.parse(listen.DirectoryAddr),
         peers=Endpoint.parse(listen.ControlAddr),
         metrics=Endpoint(wire.Self.Ip, METRICS_PORT),
-        seeds=tuple(Endpoint.parse(each) for each in wire.Network.SeedAddrs),
+        seeds=tuple(Endpoint.parse(seed) for seed in wire.Network.SeedAddrs),
         store=Endpoint.parse(wire.Platform.Platform.Address),
         most_descriptors=wire.Self.Limits.MaxFds,
         capacity=_capacity(wire.Self.Limits),
@@ -164,7 +164,7 @@
 
 
 def _capacity(limits: _Limits) -> float:
-    """What an instance can do, in cores; the link may allow less than the processor."""
+    """Return an instance's capacity in cores, limited by processor and link."""
     cores = limits.CpuShare * limits.CpuCores
     if limits.LinkMbps is not None:
         cores = min(cores, limits.LinkMbps / LINK_MBPS_PER_CORE)
--- a/src/wagtailpoint/platform/store.py
+++ b/src/wagtailpoint/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's object store; implements the product's port ``ports.platform.Platform``."""
+"""Client of the platform's object store; implements ``ports.platform.Platform``."""
 
 from collections.abc import Sequence
 from http import HTTPStatus
@@ -36,7 +36,7 @@
 
 class _Metadata(msgspec.Struct):
     Name: str
-    # Of the last change of this object; it rises with each change of any object.
+    # The store's revision at the object's last change; each change of any object raises it.
     Revision: int = 0
 
 
@@ -46,7 +46,7 @@
 
 
 class _Items(msgspec.Struct):
-    # Decoded one by one: anybody may write objects, and one that can't be read must not hide the
+    # Decoded one by one: the store is open to any writer, and an invalid object must not hide the
     # others.
     items: list[msgspec.Raw]
     HasMore: bool
@@ -64,15 +64,16 @@
 
 
 class ObjectStore:
-    """The platform's object store; one kind of object at a time can be watched."""
+    """Client of the platform's object store; a watch covers one kind of object."""
 
     def __init__(self, *, address: Endpoint, timeout_s: float, metrics: Metrics) -> None:
-        """Make a client without any connection.
+        """Initialise the client without opening a connection.
 
         Args:
-            address: Where the store listens.
-            timeout_s: The longest that a call may take, in seconds; a watch its wait more.
-            metrics: Counts the calls, which are all priced: by operation and kind.
+            address: The address of the store.
+            timeout_s: Maximum duration of a call, in seconds; a watch may take its waiting time in
+                addition.
+            metrics: Counts the calls by operation and kind, as every call is charged for.
         """
         self._calls = ObjectCalls(addresses=[address], timeout_s=timeout_s)
         self._metrics = metrics
@@ -84,17 +85,19 @@
     async def get(
         self, *, kind: str, name: str
     ) -> Result[StoredObject | None, PlatformUnavailable]:
-        """Read one object; None if there is none."""
+        """Read one object; None if it does not exist."""
         self._count("get", kind)
         outcome = await self._calls.read(Call("GET", _path(kind, name)))
         if isinstance(outcome, Err):
             return outcome
         if outcome.ok_value.status == HTTPStatus.NOT_FOUND:
             return Ok(None)
-        return decode_answer(outcome.ok_value, _Object).map(lambda wire: _stored(kind, wire))
+        return decode_answer(outcome.ok_value, _Object).map(
+            lambda wire: _to_stored_object(kind, wire)
+        )
 
     async def peek(self, *, kind: str, after: str) -> Result[Page, PlatformUnavailable]:
-        """Read one page cheaply, of names after ``after``; it may be some seconds old."""
+        """Read one page of names after ``after`` at low cost; it may be some seconds old."""
         return await self._page("check", kind, after, may_be_stale=True)
 
     async def list(
@@ -102,13 +105,14 @@
     ) -> Result[Listing, PlatformUnavailable]:
         """Read all objects of a kind, page by page.
 
-        A read that may be stale costs a tenth of another one, and does not count to the rate.
+        A read that may be stale costs a tenth of a consistent one and does not count towards the
+        rate limit.
         """
         operation = "list-stale" if may_be_stale else "list"
-        found: dict[str, StoredObject] = {}
-        # The lowest version of all pages: what changes while the others are read is then told
-        # again by the watch, where the version of the last page would miss it. A page that may
-        # be stale can be older than the one before.
+        objects_by_name: dict[str, StoredObject] = {}
+        # The listing has the lowest version of all pages, so that a watch from there reports the
+        # changes made while the other pages were read; the version of the last page would miss
+        # them. A page that may be stale can be older than the previous one.
         versions: list[int] = []
         after: str | None = ""
         while after is not None:
@@ -116,9 +120,9 @@
             if isinstance(page, Err):
                 return page
             versions.append(page.ok_value.version)
-            found |= {each.name: each for each in page.ok_value.objects}
+            objects_by_name |= {stored.name: stored for stored in page.ok_value.objects}
             after = page.ok_value.last
-        return Ok(Listing(min(versions), list(found.values())))
+        return Ok(Listing(min(versions), list(objects_by_name.values())))
 
     async def _page(
         self, operation: str, kind: str, after: str, *, may_be_stale: bool
@@ -127,14 +131,16 @@
         fields = {"AllowStale": "1"} if may_be_stale else {}
         query = urlencode(fields | ({"after": after} if after else {}))
         outcome = await self._calls.read(Call("GET", f"{_path(kind)}?{query}".rstrip("?")))
-        answered = outcome.and_then(lambda answer: decode_answer(answer, _Items))
-        if isinstance(answered, Err):
-            return answered
-        wire = answered.ok_value
-        items = _readable(kind, wire.items, _Object)
-        # A page of which nothing can be read can't be continued from.
+        decoded_page = outcome.and_then(lambda answer: decode_answer(answer, _Items))
+        if isinstance(decoded_page, Err):
+            return decoded_page
+        wire = decoded_page.ok_value
+        items = _decode_valid(kind, wire.items, _Object)
+        # A page without a valid object has no name from which to continue.
         last = items[-1].Metadata.Name if wire.HasMore and items else None
-        return Ok(Page(wire.StoreRevision, [_stored(kind, each) for each in items], after, last))
+        return Ok(
+            Page(wire.StoreRevision, [_to_stored_object(kind, item) for item in items], after, last)
+        )
 
     async def put(
         self, *, kind: str, name: str, value: Any, if_version: int
@@ -157,7 +163,7 @@
         written = decode_answer(outcome.ok_value, _Object)
         if isinstance(written, Err):
             return Err(OutcomeUnknown(str(written.err_value)))
-        return Ok(_stored(kind, written.ok_value))
+        return Ok(_to_stored_object(kind, written.ok_value))
 
     async def delete(
         self, *, kind: str, name: str, if_version: int
@@ -171,7 +177,7 @@
     ) -> Result[WatchBatch, WatchTooOld | PlatformUnavailable]:
         """Wait up to ``wait_s`` seconds for changes of one kind after ``from_version``."""
         if len(kinds) != 1:
-            raise ValueError(f"kinds: given {kinds}, expected one: this store watches one a call")
+            raise ValueError(f"kinds: given {kinds}, expected one: a call watches one kind")
         (kind,) = kinds
         self._count("watch", kind)
         query = urlencode({"Watch": from_version, "WaitMs": int(wait_s * 1000)})
@@ -184,14 +190,16 @@
             lambda wire: WatchBatch(
                 wire.StoreRevision,
                 [
-                    WatchEvent("delete" if each.Deleted else "put", _stored(kind, each.Object))
-                    for each in _readable(kind, wire.events, _Event)
+                    WatchEvent(
+                        "delete" if event.Deleted else "put", _to_stored_object(kind, event.Object)
+                    )
+                    for event in _decode_valid(kind, wire.events, _Event)
                 ],
             )
         )
 
     async def instances(self) -> Result[Sequence[ListedInstance], PlatformUnavailable]:
-        """The platform lists no instances by itself: they register as objects of their own."""
+        """Return no instances: this platform lists none, they register as objects."""
         return Ok([])
 
     def _count(self, operation: str, kind: str) -> None:
@@ -208,26 +216,26 @@
         if answer.status == HTTPStatus.CONFLICT:
             return _conflict(answer, kind)
         if answer.status // 100 != 2:
-            return Err(OutcomeUnknown(f"{call.method} {call.target}: {answer.status}"))
+            return Err(OutcomeUnknown(f"{call.method} {call.target}: status {answer.status}"))
         return Ok(answer)
 
 
-def _readable(kind: str, found: Sequence[msgspec.Raw], wire_type: type[_T]) -> list[_T]:
-    """Decode the objects or events that can be read."""
-    read = []
-    for raw in found:
+def _decode_valid(kind: str, raw_values: Sequence[msgspec.Raw], wire_type: type[_T]) -> list[_T]:
+    """Decode the valid objects or events, and log the others."""
+    decoded = []
+    for raw in raw_values:
         try:
-            read.append(msgspec.json.decode(raw, type=wire_type))
+            decoded.append(msgspec.json.decode(raw, type=wire_type))
         except msgspec.DecodeError as error:
             log_event("object-unreadable", level="WARNING", kind=kind, error=error)
-    return read
+    return decoded
 
 
 def _path(*parts: str) -> str:
     return "/".join((_OBJECTS, *(quote(part, safe="") for part in parts)))
 
 
-def _stored(kind: str, wire: _Object) -> StoredObject:
+def _to_stored_object(kind: str, wire: _Object) -> StoredObject:
     return StoredObject(kind, wire.Metadata.Name, wire.Metadata.Revision, wire.Spec)
 
 
@@ -235,5 +243,5 @@
     try:
         current = msgspec.json.decode(answer.body, type=_Object)
     except msgspec.DecodeError as error:
-        return Err(OutcomeUnknown(f"the store's conflict can't be read: {error}"))
-    return Err(Conflict(_stored(kind, current)))
+        return Err(OutcomeUnknown(f"the store's answer to a conflict can't be decoded: {error}"))
+    return Err(Conflict(_to_stored_object(kind, current)))
--- a/tests/cover/test_deploy.py
+++ b/tests/cover/test_deploy.py
@@ -1,4 +1,4 @@
-"""The deploy file and the operations page agree with the program."""
+"""The deploy file and the operations page are consistent with the program."""
 
 import os
 import re
--- a/tests/cover/test_object_store.py
+++ b/tests/cover/test_object_store.py
@@ -1,4 +1,4 @@
-"""The adapter to the users' object store, against the stand-in over loopback."""
+"""The client of the users' object store, against a stand-in over loopback."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -34,18 +34,20 @@
             for number in range(5):
                 self.store.put("servers", f"i-{number}", {"n": number})
             listing = (await client.list(kind="servers")).unwrap()
-            self.assertEqual([each.name for each in listing.objects], [f"i-{n}" for n in range(5)])
+            self.assertEqual(
+                [stored.name for stored in listing.objects], [f"i-{n}" for n in range(5)]
+            )
             self.assertEqual(listing.version, self.store.revision)
             self.assertEqual(self.metrics.counts, {"store.list.servers": len(self.store.calls)})
 
         self.run_with(test)
 
-    def test_stale_pages_that_go_back_are_listed_from_the_oldest(self) -> None:
-        """Symptom: an instance that started never learns of a backend server that left.
+    def test_stale_listing_has_the_version_of_its_oldest_page(self) -> None:
+        """Guards against a starting instance that keeps a backend server that has left.
 
-        The pages of a listing that may be stale come from states of different ages: the first one
-        is new, a later one older and still names the backend server. A watch from the first one's
-        version does not tell of its end, which lies before that.
+        The pages of a stale listing have different ages: the first is new, a later one is older and
+        still has the backend server. A watch from the first page's version does not report the
+        deletion, which came before it.
         """
 
         async def test(client: ObjectStore) -> None:
@@ -70,16 +72,16 @@
                 await client.watch(kinds=["servers"], from_version=listing.version, wait_s=1.0)
             ).unwrap()
             self.assertIn(
-                ("delete", "i-2"), [(each.action, each.stored.name) for each in batch.events]
+                ("delete", "i-2"), [(event.action, event.stored.name) for event in batch.events]
             )
 
         self.run_with(test)
 
-    def test_change_between_two_pages_is_told_by_the_watch(self) -> None:
-        """Symptom: a backend server that left gets requests for ever.
+    def test_change_between_two_pages_is_reported_by_the_watch(self) -> None:
+        """Guards against requests to a backend server that has left.
 
-        It leaves while a long list is read, after its page. The list's version is that of its last
-        page, and the watch that goes on from there never tells of it.
+        It leaves while a long list is read, after its page. If the list had the version of its last
+        page, the watch from there would never report the deletion.
         """
 
         async def test(client: ObjectStore) -> None:
@@ -100,16 +102,16 @@
             batch = (
                 await client.watch(kinds=["servers"], from_version=listing.version, wait_s=1)
             ).unwrap()
-            events = [(each.action, each.stored.name) for each in batch.events]
+            events = [(event.action, event.stored.name) for event in batch.events]
             self.assertEqual(events, [("delete", "i-0")])
 
         self.run_with(test)
 
-    def test_object_that_can_t_be_read_hides_no_others(self) -> None:
-        """Symptom: an instance loses sight of all backend servers at once.
+    def test_invalid_object_does_not_hide_the_others(self) -> None:
+        """Guards against an instance that loses all backend servers at once.
 
-        Sequence: somebody writes an object that is none, or bytes that are no text. Cause: the
-        whole answer was taken for unreadable, and asked for again without end.
+        The store holds an invalid object or invalid UTF-8. If the whole answer counts as invalid,
+        it is requested again without end.
         """
         item = b'{"Metadata":{"Name":"%s","Revision":4},"Spec":%s}'
         items = [
@@ -120,7 +122,7 @@
             item % (b"i-3", b'{"n":3}'),
         ]
         listing = b'{"items":[%s],"HasMore":false,"StoreRevision":9}' % b",".join(items)
-        events = b",".join(b'{"Object":%s,"Deleted":false}' % each for each in items)
+        events = b",".join(b'{"Object":%s,"Deleted":false}' % item for item in items)
 
         async def connection(stream: ScriptedStream) -> None:
             while request := await stream.request():
@@ -135,9 +137,9 @@
                     )
                     listed = (await client.list(kind="servers")).unwrap()
                     batch = await client.watch(kinds=["servers"], from_version=1, wait_s=0)
-                    names = [each.stored.name for each in batch.unwrap().events]
+                    names = [event.stored.name for event in batch.unwrap().events]
                     self.assertEqual(names, ["i-1", "i-2", "i-3"])
-                    self.assertEqual([each.name for each in listed.objects], names)
+                    self.assertEqual([stored.name for stored in listed.objects], names)
 
         logger.disable("wagtailpoint")
         self.addCleanup(logger.enable, "wagtailpoint")
@@ -153,11 +155,11 @@
 
                 nursery.start_soon(change)
                 batch = (await client.watch(kinds=["config"], from_version=1, wait_s=2)).unwrap()
-            self.assertEqual([each.stored.value for each in batch.events], [{"Version": "1"}])
+            self.assertEqual([event.stored.value for event in batch.events], [{"Version": "1"}])
 
         self.run_with(test)
 
-    def test_history_that_is_gone(self) -> None:
+    def test_watch_from_a_version_without_history(self) -> None:
         async def test(client: ObjectStore) -> None:
             self.store.history_from = 10
             outcome = await client.watch(kinds=["config"], from_version=1, wait_s=1)
--- a/tests/cover/test_platform_documents.py
+++ b/tests/cover/test_platform_documents.py
@@ -1,4 +1,4 @@
-"""The users' documents and settings, decoded; and that nothing else knows their names."""
+"""Decoding of the users' documents and settings, and that no other package uses their names."""
 
 import math
 import re
@@ -24,13 +24,13 @@
 SOURCES = Path(__file__).parents[2] / "src" / "wagtailpoint"
 
 
-def stored(value, name: str = "main") -> StoredObject:
+def stored_object(value, name: str = "main") -> StoredObject:
     return StoredObject("config", name, 5, value)
 
 
 class ConfigTest(unittest.TestCase):
     def test_routes_of_a_host(self) -> None:
-        table = decode_config(stored(config_document())).unwrap()
+        table = decode_config(stored_object(config_document())).unwrap()
         self.assertEqual(table.version, 7)
         release = table.find("ficu95.EXAMPLE", "/look/release/1")
         look = table.find("ficu95.example", "/look/1")
@@ -43,21 +43,21 @@
         self.assertEqual((look.timeout_s, look.objective_s, look.max_attempts), (0.8, 0.3, 2))
         self.assertEqual(table.services["desk"].cold_per_s, 10.0)
 
-    def test_homes_of_a_host_bind_with_those_of_its_routes(self) -> None:
+    def test_home_regions_of_host_and_route_are_intersected(self) -> None:
         document = config_document()
         document["VirtualHosts"][0]["HomeRegions"] = ["a", "b"]
-        table = decode_config(stored(document)).unwrap()
+        table = decode_config(stored_object(document)).unwrap()
         home_regions = {route.name: route.home_regions for route in table.hosts["ficu95.example"]}
         self.assertEqual(home_regions, {"r-1": {"a", "b"}, "r-2": {"a"}})
 
-    def test_homes_without_a_common_region_allow_none(self) -> None:
-        """Guards against a route served everywhere since its homes and its host's are disjoint."""
+    def test_disjoint_home_regions_allow_no_region(self) -> None:
+        """Guards against a route served everywhere as its homes and its host's are disjoint."""
         document = config_document()
         document["VirtualHosts"][0]["HomeRegions"] = ["b"]
-        table = decode_config(stored(document)).unwrap()
+        table = decode_config(stored_object(document)).unwrap()
         home_regions = {route.name: route.home_regions for route in table.hosts["ficu95.example"]}
         self.assertEqual(home_regions, {"r-1": {"b"}, "r-2": set()})
-        without = decode_config(stored(config_document())).unwrap()
+        without = decode_config(stored_object(config_document())).unwrap()
         self.assertIsNone(without.hosts["ficu95.example"][1].home_regions)
 
     def test_workspaces_by_the_digests_of_their_keys(self) -> None:
@@ -69,15 +69,15 @@
             "Burst": 30,
             "HomeRegions": ["a"],
         }
-        free = {"Name": "free", "ApiKeys": ["third"], "RatePerS": 0, "Burst": 5}
+        unlimited = {"Name": "free", "ApiKeys": ["third"], "RatePerS": 0, "Burst": 5}
         without_key = {"Name": "closed", "ApiKeys": []}
-        document = config_document(Tenants=[tenant, free, without_key])
+        document = config_document(Tenants=[tenant, unlimited, without_key])
         document["VirtualHosts"][0]["PathRoutes"][0]["Public"] = True
-        table = decode_config(stored(document)).unwrap()
+        table = decode_config(stored_object(document)).unwrap()
         assert table.workspaces is not None
-        whole = WorkspacePolicy("huka270", 1, frozenset("a"), Allowance(214.0, 30.0))
+        complete = WorkspacePolicy("huka270", 1, frozenset("a"), Allowance(214.0, 30.0))
         for key in (b"first", b"second"):
-            self.assertEqual(table.workspaces[key_digest(key)], whole)
+            self.assertEqual(table.workspaces[key_digest(key)], complete)
         self.assertEqual(table.workspaces[key_digest(b"third")], WorkspacePolicy("free"))
         self.assertEqual(len(table.workspaces), 3)
         public = {route.name: route.public for route in table.hosts["ficu95.example"]}
@@ -85,46 +85,46 @@
 
     def test_without_workspaces_callers_need_no_key(self) -> None:
         for document in (config_document(), config_document(Tenants=[])):
-            self.assertIsNone(decode_config(stored(document)).unwrap().workspaces)
+            self.assertIsNone(decode_config(stored_object(document)).unwrap().workspaces)
 
-    def test_keys_are_in_no_text_of_a_configuration(self) -> None:
+    def test_keys_do_not_appear_in_representations_or_errors(self) -> None:
         """Guards against a key in a log line or an error."""
         tenant = {"Name": "w", "ApiKeys": ["secret-key"]}
-        table = decode_config(stored(config_document(Tenants=[tenant]))).unwrap()
+        table = decode_config(stored_object(config_document(Tenants=[tenant]))).unwrap()
         self.assertNotIn("secret-key", repr(table))
         wrong = {"Name": "two words", "ApiKeys": ["secret-key"]}
-        error = decode_config(stored(config_document(Tenants=[wrong]))).unwrap_err()
+        error = decode_config(stored_object(config_document(Tenants=[wrong]))).unwrap_err()
         self.assertNotIn("secret-key", str(error))
 
-    def test_host_that_is_listed_twice_keeps_all_its_routes(self) -> None:
-        """Guards against 404 for routes of a host that stands in a later entry too."""
+    def test_routes_of_a_host_with_two_entries_are_merged(self) -> None:
+        """Guards against 404 for the routes of a host that has several entries."""
         document = config_document()
         (host,) = document["VirtualHosts"]
         added = {**host["PathRoutes"][0], "Name": "r-3", "PathPrefix": "/look/release/new/"}
         document["VirtualHosts"].append({"Host": "FICU95.example", "PathRoutes": [added]})
-        table = decode_config(stored(document)).unwrap()
+        table = decode_config(stored_object(document)).unwrap()
         for path, name in (("/look/1", "r-1"), ("/look/release/1", "r-2")):
             route = table.find("ficu95.example", path)
             assert route is not None
             self.assertEqual(route.name, name)
         self.assertEqual(table.hosts["ficu95.example"][0].name, "r-3")
 
-    def test_unreadable_configuration_says_where(self) -> None:
+    def test_invalid_configuration_names_the_field(self) -> None:
         for changes, expected in (
             ({"Version": "seven"}, "main"),
             ({"Limits": {}}, "MaxHeaderBytes"),
             ({"VirtualHosts": [{"Host": "h", "PathRoutes": [{"Name": "r"}]}]}, "PathPrefix"),
         ):
-            error = decode_config(stored(config_document(**changes))).unwrap_err()
+            error = decode_config(stored_object(config_document(**changes))).unwrap_err()
             self.assertIn(expected, str(error))
 
     def test_unknown_fields_are_ignored(self) -> None:
-        self.assertTrue(decode_config(stored(config_document(New=1))).is_ok())
+        self.assertTrue(decode_config(stored_object(config_document(New=1))).is_ok())
 
 
 class ServerEntryTest(unittest.TestCase):
     def decode(self, value):
-        return decode_server(stored(value, "i-1"), failure_domains=("a-1", "a-2", "b-1"))
+        return decode_server(stored_object(value, "i-1"), failure_domains=("a-1", "a-2", "b-1"))
 
     def test_fields(self) -> None:
         value = server_document("10.1.2.3:80", State="draining", ColdLeftS=1.5, Sequence=4, born=9)
@@ -133,12 +133,12 @@
         self.assertEqual((entry.address.address, entry.address.port), ("10.1.2.3", 80))
         self.assertEqual((entry.started_ms, sequence), (9, 4))
 
-    def test_unreadable_entry(self) -> None:
+    def test_invalid_entry(self) -> None:
         for value in (None, {}, server_document("nowhere")):
             self.assertTrue(self.decode(value).is_err())
 
     def test_entries_that_no_backend_server_wrote(self) -> None:
-        """Anybody may write there; what names no usable backend server is told as an error."""
+        """The store is open to any writer; an entry without a usable backend server is an error."""
         for changes in (
             {"State": "resting"},
             {"State": 1},
@@ -168,11 +168,11 @@
             self.assertTrue(self.decode(value).is_err(), changes)
 
     def test_missing_fields(self) -> None:
-        whole = server_document("10.1.2.3:80")
-        self.assertTrue(self.decode(whole).is_ok())
+        complete = server_document("10.1.2.3:80")
+        self.assertTrue(self.decode(complete).is_ok())
         for name in ("Service", "Address", "Zone", "MaxConcurrency", "State"):
-            part = {key: value for key, value in whole.items() if key != name}
-            self.assertTrue(self.decode(part).is_err(), name)
+            incomplete = {key: value for key, value in complete.items() if key != name}
+            self.assertTrue(self.decode(incomplete).is_err(), name)
 
 
 class SettingsTest(unittest.TestCase):
@@ -186,19 +186,21 @@
         self.assertEqual(settings.seeds, (Endpoint("10.1.0.1", 8146),))
         self.assertEqual(settings.bounds.repeat_slack, 58)
 
-    def test_keys_count_on_cut_instances_only_where_that_is_not_strict(self) -> None:
-        def lag_s(**bounds: Any) -> float:
+    def test_key_lag_is_bounded_only_if_strict(self) -> None:
+        def key_lag_s(**bounds: Any) -> float:
             document = self.document()
-            given = document["Terms"]["Bounds"]
+            bounds_document = document["Terms"]["Bounds"]
             document["Terms"]["Bounds"] = {
-                name: value for name, value in given.items() if not name.startswith("Revoke")
+                name: value
+                for name, value in bounds_document.items()
+                if not name.startswith("Revoke")
             } | bounds
             settings = decode_node_settings(msgspec.json.encode(document)).unwrap()
             return settings.bounds.key_lag_max_s
 
-        self.assertEqual(lag_s(RevokeS=5, RevokeStrict=True), 5.0)
-        self.assertEqual(lag_s(RevokeS=5, RevokeStrict=False), math.inf)
-        self.assertEqual(lag_s(), math.inf)
+        self.assertEqual(key_lag_s(RevokeS=5, RevokeStrict=True), 5.0)
+        self.assertEqual(key_lag_s(RevokeS=5, RevokeStrict=False), math.inf)
+        self.assertEqual(key_lag_s(), math.inf)
 
     def test_capacity_by_processor_and_link(self) -> None:
         def capacity(**limits: Any) -> float:
@@ -211,7 +213,7 @@
         self.assertEqual(capacity(), 1.0)
         self.assertEqual(capacity(LinkMbps=None), 1.0)
 
-    def test_absurd_limits_are_refused(self) -> None:
+    def test_out_of_range_limits_are_refused(self) -> None:
         for limits in ({"CpuShare": 0}, {"CpuCores": -2}, {"CpuShare": 1e9}, {"LinkMbps": 0}):
             document = self.document()
             document["Self"]["Limits"] = {"MaxFds": 1024, **limits}
@@ -224,11 +226,11 @@
         document["Network"]["Zones"] = 7
         del document["Platform"]
         mistakes = decode_node_settings(msgspec.json.encode(document)).unwrap_err().mistakes
-        named = [each.path for each in mistakes]
+        named = [mistake.path for mistake in mistakes]
         self.assertEqual(named, ["Self", "Network.Zones", "Platform"])
         self.assertIn("Zone", mistakes[0].given)
 
-    def test_no_json_and_bad_addresses(self) -> None:
+    def test_invalid_json_and_addresses(self) -> None:
         self.assertTrue(decode_node_settings(b"{").is_err())
         self.assertTrue(decode_node_settings(b"[]").is_err())
         document = self.document()
@@ -237,14 +239,14 @@
 
 
 class BoundaryTest(unittest.TestCase):
-    def test_nothing_else_knows_the_names_of_the_wire(self) -> None:
-        """A name is taken from the adapter itself: its wire fields, headers, paths."""
+    def test_wire_names_are_used_in_the_platform_package_only(self) -> None:
+        """The names are taken from the source of the package: wire fields, headers, paths."""
         adapter = "\n".join(path.read_text() for path in (SOURCES / "platform").glob("*.py"))
         fields = set(re.findall(r"^    ([A-Z][A-Za-z]+): ", adapter, re.MULTILINE))
         headers = set(re.findall(r'b"(x-[a-z-]+)"', adapter))
         self.assertGreater(len(fields), 30)
         self.assertGreater(len(headers), 5)
-        # Words of everyday English that also stand in class names of ours.
+        # Only compound names: single words also occur in class names elsewhere.
         distinctive = {name for name in fields if re.search(r"[a-z][A-Z]", name)} | headers
         distinctive |= {"/api/ready", "/api/resolve", "/api/objects"}
         for path in SOURCES.rglob("*.py"):
