--- a/src/wagtailpoint/caller/answer.py
+++ b/src/wagtailpoint/caller/answer.py
@@ -37,18 +37,18 @@
     return Answer(reply.status, reply.headers, reply.body, read_verdict(reply.headers), entry)
 
 
-def read_verdict(of: Headers) -> Verdict:
+def read_verdict(header_fields: Headers) -> Verdict:
     """Return the verdict that an answer carries; without one the request may have run."""
-    value = find_header(of, headers.VERDICT) or b""
+    value = find_header(header_fields, headers.VERDICT) or b""
     try:
         return Verdict(value.decode("ascii", "replace"))
     except ValueError:
         return Verdict.MAY_HAVE_RUN
 
 
-def read_retry_after_s(of: Headers) -> float:
+def read_retry_after_s(header_fields: Headers) -> float:
     """Return when to come back, in seconds; 0 if it is not said."""
-    value = find_header(of, headers.RETRY_AFTER) or b""
+    value = find_header(header_fields, headers.RETRY_AFTER) or b""
     return float(value) if value.isdigit() else 0.0
 
 
--- a/src/wagtailpoint/caller/caller.py
+++ b/src/wagtailpoint/caller/caller.py
@@ -37,12 +37,12 @@
 from wagtailpoint.verdict import Verdict
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD"})
-_COME_BACK_STATUSES = frozenset({429, 502, 503, 504})
-_LEAST_PAUSE_S = 0.02
-_JITTER = 0.5
-_MOST_COPIES = 6
+_RETRYABLE_STATUSES = frozenset({429, 502, 503, 504})
+_MIN_RETRY_DELAY_S = 0.02
+_JITTER_FRACTION = 0.5
+_MAX_COPIES = 6
 
-LEAST_PART_OF_TIME = 0.25
+MIN_REMAINING_FRACTION = 0.25
 """A key that was refused is not bound anew when less than this part of the time is left: a new
 attempt that does not end in time would make a certain ``not-run`` into a ``may-have-run``."""
 
@@ -92,7 +92,7 @@
             seed: Of the jitter; None for a random one.
         """
         self._workspace = workspace
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
         self._exchanges = Exchanges(
             connect_timeout_s=connect_timeout_s, idle_timeout_s=idle_timeout_s
         )
@@ -101,9 +101,9 @@
             seeds=[EntryAddress(*entry) for entry in entries],
             workspace=workspace,
             address=address,
-            chance=self._chance,
+            rng=self._rng,
         )
-        self._keys = CallerKeys(most_keys=most_keys)
+        self._keys = CallerKeys(max_keys=most_keys)
         self._budget = RetryBudget(
             clock=_Monotonic(), ratio=retry_ratio, minimum_per_s=retries_per_s
         )
@@ -149,7 +149,7 @@
         self._budget.record_request()
         if idempotency_key is not None and method not in IDEMPOTENT_METHODS:
             return await self._send_keyed(outgoing, idempotency_key, until)
-        result, entry = await self._send(outgoing, until, whole=True)
+        result, entry = await self._send(outgoing, until, read_body=True)
         assert isinstance(result, Reply)
         return make_answer(result, entry.address)
 
@@ -174,9 +174,9 @@
 
         async def reopen(extra: Headers) -> tuple[OpenReply | Reply, EntryAddress]:
             self._budget.record_request()
-            wanted = outgoing._replace(headers=[*outgoing.headers, *extra])
+            resumed = outgoing._replace(headers=[*outgoing.headers, *extra])
             until = trio.current_time() + deadline_s
-            result, entry = await self._send(wanted, until, whole=False)
+            result, entry = await self._send(resumed, until, read_body=False)
             return result, entry.address
 
         download = Download(outgoing=outgoing, reopen=reopen)
@@ -187,97 +187,97 @@
             await download.aclose()
 
     def _outgoing(self, method: str, path: str, headers: Headers, body: bytes) -> Outgoing:
-        wire = [(names.WORKSPACE, self._workspace.encode()), *headers]
-        return Outgoing(method, path, wire, body)
+        wire_headers = [(names.WORKSPACE, self._workspace.encode()), *headers]
+        return Outgoing(method, path, wire_headers, body)
 
     async def _send(
-        self, outgoing: Outgoing, until: float, *, whole: bool
+        self, outgoing: Outgoing, until: float, *, read_body: bool
     ) -> tuple[OpenReply | Reply, KnownEntry]:
         """Send a request without a key."""
         idempotent = outgoing.method in IDEMPOTENT_METHODS
-        exchange = self._exchanges.exchange if whole else self._exchanges.open
+        exchange = self._exchanges.exchange if read_body else self._exchanges.open
         tried: list[KnownEntry] = []
         while True:
             entry = await self._entries.choose(tried, until=until)
             attempt_until = _attempt_until(until, len(tried)) if idempotent else until
             result = await exchange(entry.address, outgoing, until=attempt_until)
             tried.append(entry)
-            if not _worth_repeating(result):
+            if not _is_retryable(result):
                 assert not isinstance(result, Broken)
                 return result, entry
-            if not self._may_repeat(result, idempotent, len(tried), until):
-                return _give_up(result), entry
-            self._note_entry(entry, result)
-            if not await self._pause(result, tried, until):
-                return _give_up(result), entry
+            if not self._may_retry(result, idempotent, len(tried), until):
+                return _reply_or_raise(result), entry
+            self._update_entries(entry, result)
+            if not await self._wait_before_retry(result, tried, until):
+                return _reply_or_raise(result), entry
 
     async def _send_keyed(self, outgoing: Outgoing, key: str, until: float) -> Answer:
         bound = self._keys.get(key)
         with bound.call():
             result, entry = await self._send_copies(outgoing, key, bound, until)
-            return make_answer(_sure_keyed(result, bound), entry.address)
+            return make_answer(_corrected_keyed_reply(result, bound), entry.address)
 
     async def _send_copies(
         self, outgoing: Outgoing, key: str, bound: BoundKey, until: float
     ) -> tuple[Reply | Broken, KnownEntry]:
         tried: list[KnownEntry] = []
-        last_start = until - LEAST_PART_OF_TIME * (until - trio.current_time())
+        last_start = until - MIN_REMAINING_FRACTION * (until - trio.current_time())
         while True:
             entry = bound.entry
             if entry is None:
                 entry = bound.bind(await self._entries.choose(tried, until=until))
-            asked = await self._whom_to_ask(entry, tried, until)
+            receiver = await self._choose_receiver(entry, tried, until)
             bound.note_copy()
             result = await self._exchanges.exchange(
-                asked.address,
+                receiver.address,
                 _with_key(outgoing, key, entry.binding),
                 until=_attempt_until(until, len(tried)) if entry.binding else until,
                 deadline=until,
             )
-            tried.append(asked)
-            result = bound.settle(entry, result, elsewhere=asked.address != entry.address)
-            self._note_entry(asked, result)
-            if not _worth_repeating(result):
-                return result, asked
+            tried.append(receiver)
+            result = bound.settle(entry, result, via_other_entry=receiver.address != entry.address)
+            self._update_entries(receiver, result)
+            if not _is_retryable(result):
+                return result, receiver
             if bound.entry is None and trio.current_time() >= last_start:
-                return result, asked
+                return result, receiver
             if not await self._may_send_copy(result, bound, tried, until):
-                return result, asked
+                return result, receiver
 
-    async def _whom_to_ask(
-        self, bound_to: KnownEntry, tried: list[KnownEntry], until: float
+    async def _choose_receiver(
+        self, bound_entry: KnownEntry, tried: list[KnownEntry], until: float
     ) -> KnownEntry:
         """Return the bound entry, or another one when the last copy there was not answered.
 
         The link to the bound entry may be cut for this caller only. Another entry never runs the
         key, but asks the bound one how it ended; after that it is the bound entry's turn again.
         """
-        if not bound_to.binding or not tried or tried[-1].address != bound_to.address:
-            return bound_to
-        other = await self._entries.choose([bound_to], until=until)
-        return bound_to if other.address == bound_to.address else other
+        if not bound_entry.binding or not tried or tried[-1].address != bound_entry.address:
+            return bound_entry
+        alternative = await self._entries.choose([bound_entry], until=until)
+        return bound_entry if alternative.address == bound_entry.address else alternative
 
     async def _may_send_copy(
         self, result: Reply | Broken, bound: BoundKey, tried: list[KnownEntry], until: float
     ) -> bool:
         """Decide on another copy, and wait for its time."""
         if bound.entry is None:
-            may = self._may_repeat(result, False, len(tried), until)
-            return may and await self._pause(result, tried, until)
+            may_retry = self._may_retry(result, False, len(tried), until)
+            return may_retry and await self._wait_before_retry(result, tried, until)
         # The bound entry joins or repeats: safe and cheap, and the only way to learn the outcome.
         # A little patience outlasts a cut connection; a dead entry does not come back.
-        if len(tried) >= _MOST_COPIES:
+        if len(tried) >= _MAX_COPIES:
             return False
-        return await self._sleep(_LEAST_PAUSE_S * 2 ** len(tried), until)
+        return await self._sleep_with_jitter(_MIN_RETRY_DELAY_S * 2 ** len(tried), until)
 
-    def _note_entry(self, entry: KnownEntry, result: OpenReply | Reply | Broken) -> None:
+    def _update_entries(self, entry: KnownEntry, result: OpenReply | Reply | Broken) -> None:
         if isinstance(result, Broken):
-            self._entries.suspect(entry.address)
+            self._entries.mark_suspect(entry.address)
         elif result.status == HTTPStatus.CONFLICT:
             # A conflict that may be repeated is an old binding: so the lookup's answer is old.
-            self._entries.outdate()
+            self._entries.mark_stale()
 
-    def _may_repeat(
+    def _may_retry(
         self, result: OpenReply | Reply | Broken, idempotent: bool, attempts: int, until: float
     ) -> bool:
         verdict = _verdict(result)
@@ -291,24 +291,24 @@
         )
         return decision.allowed
 
-    async def _pause(
+    async def _wait_before_retry(
         self, result: OpenReply | Reply | Broken, tried: list[KnownEntry], until: float
     ) -> bool:
         """Wait before a repeat as the refusal asks; False if the deadline is too near for it."""
-        best = await self._entries.choose(tried, until=until)
-        if best.failure_domain not in {entry.failure_domain for entry in tried}:
+        next_entry = await self._entries.choose(tried, until=until)
+        if next_entry.failure_domain not in {entry.failure_domain for entry in tried}:
             return True
-        wanted_s = _LEAST_PAUSE_S
+        delay_s = _MIN_RETRY_DELAY_S
         if isinstance(result, Reply):
-            wanted_s = max(wanted_s, read_retry_after_s(result.headers))
-        return await self._sleep(wanted_s, until)
+            delay_s = max(delay_s, read_retry_after_s(result.headers))
+        return await self._sleep_with_jitter(delay_s, until)
 
-    async def _sleep(self, wanted_s: float, until: float) -> bool:
+    async def _sleep_with_jitter(self, delay_s: float, until: float) -> bool:
         # Jitter: callers refused together would otherwise come back together.
-        wanted_s *= 1 + _JITTER * self._chance.random()
-        if trio.current_time() + wanted_s >= until:
+        delay_s *= 1 + _JITTER_FRACTION * self._rng.random()
+        if trio.current_time() + delay_s >= until:
             return False
-        await trio.sleep(wanted_s)
+        await trio.sleep(delay_s)
         return True
 
 
@@ -321,10 +321,10 @@
 
 
 def _with_key(outgoing: Outgoing, key: str, binding: str) -> Outgoing:
-    wire = [*outgoing.headers, (names.IDEMPOTENCY_KEY, key.encode())]
+    wire_headers = [*outgoing.headers, (names.IDEMPOTENCY_KEY, key.encode())]
     if binding:
-        wire.append((names.BINDING, binding.encode()))
-    return outgoing._replace(headers=wire)
+        wire_headers.append((names.BINDING, binding.encode()))
+    return outgoing._replace(headers=wire_headers)
 
 
 def _verdict(result: OpenReply | Reply | Broken) -> Verdict:
@@ -333,19 +333,19 @@
     return read_verdict(result.headers)
 
 
-def _worth_repeating(result: OpenReply | Reply | Broken) -> bool:
+def _is_retryable(result: OpenReply | Reply | Broken) -> bool:
     if isinstance(result, Broken):
         return True
     verdict = read_verdict(result.headers)
     if result.status == HTTPStatus.CONFLICT:
-        return verdict is Verdict.NOT_RUN or _knows_nothing(result)
+        return verdict is Verdict.NOT_RUN or _cannot_learn_outcome(result)
     if _code(result) == RefusalCode.QUARANTINED.value:
         # All entries refuse it.
         return False
-    return result.status in _COME_BACK_STATUSES and verdict is not Verdict.RAN
+    return result.status in _RETRYABLE_STATUSES and verdict is not Verdict.RAN
 
 
-def _knows_nothing(result: OpenReply | Reply) -> bool:
+def _cannot_learn_outcome(result: OpenReply | Reply) -> bool:
     """Whether another entry than the bound one could not learn how the key ended."""
     return _code(result) == RefusalCode.OTHER_INCARNATION.value
 
@@ -354,17 +354,17 @@
     return refusal_code(result.status, result.body if isinstance(result, Reply) else b"")
 
 
-def _give_up(result: OpenReply | Reply | Broken) -> OpenReply | Reply:
+def _reply_or_raise(result: OpenReply | Reply | Broken) -> OpenReply | Reply:
     if isinstance(result, Broken):
         raise RequestUnanswered(verdict=_verdict(result), reason=result.reason)
     return result
 
 
-def _sure_keyed(result: Reply | Broken, bound: BoundKey) -> Reply:
+def _corrected_keyed_reply(result: Reply | Broken, bound: BoundKey) -> Reply:
     if isinstance(result, Broken):
         # A copy that never left says nothing of an earlier one that did.
-        verdict = Verdict.NOT_RUN if bound.certain else Verdict.MAY_HAVE_RUN
+        verdict = Verdict.NOT_RUN if bound.is_not_run_certain else Verdict.MAY_HAVE_RUN
         raise RequestUnanswered(verdict=verdict, reason=result.reason)
-    if read_verdict(result.headers) is Verdict.NOT_RUN and not bound.certain:
+    if read_verdict(result.headers) is Verdict.NOT_RUN and not bound.is_not_run_certain:
         return with_verdict(result, Verdict.MAY_HAVE_RUN)
     return result
--- a/src/wagtailpoint/caller/download.py
+++ b/src/wagtailpoint/caller/download.py
@@ -19,7 +19,7 @@
 
 _OK = 200
 _PARTIAL = 206
-_MOST_RESUMPTIONS_WITHOUT_PROGRESS = 3
+_MAX_RESUMPTIONS_WITHOUT_PROGRESS = 3
 _CONTENT_RANGE = re.compile(rb"bytes (\d+)-\d+/(?:\d+|\*)")
 
 
@@ -86,7 +86,7 @@
             except BrokenReply as broken:
                 reason = str(broken)
             without_progress += 1
-            if without_progress > _MOST_RESUMPTIONS_WITHOUT_PROGRESS:
+            if without_progress > _MAX_RESUMPTIONS_WITHOUT_PROGRESS:
                 raise _cannot_resume(reason, "it broke again and again without a byte")
             await self._resume(reason)
 
@@ -97,15 +97,15 @@
         if validator is None or validator.startswith(b"W/"):
             raise _cannot_resume(reason, "the response had no strong ETag")
         await self.aclose()
-        wanted = [(b"range", b"bytes=%d-" % self._received), (b"if-range", validator)]
-        self._reply, self._entry = await self._reopen(wanted)
-        if self._reply.status != _PARTIAL or not self._continues(self._reply.headers):
+        range_headers = [(b"range", b"bytes=%d-" % self._received), (b"if-range", validator)]
+        self._reply, self._entry = await self._reopen(range_headers)
+        if self._reply.status != _PARTIAL or not self._matches_missing_range(self._reply.headers):
             raise _cannot_resume(reason, f"status {self._reply.status} is not the missing range")
 
-    def _continues(self, of: Headers) -> bool:
-        match = _CONTENT_RANGE.fullmatch(find_header(of, b"content-range") or b"")
+    def _matches_missing_range(self, header_fields: Headers) -> bool:
+        match = _CONTENT_RANGE.fullmatch(find_header(header_fields, b"content-range") or b"")
         return match is not None and int(match[1]) == self._received
 
 
-def _cannot_resume(reason: str, why: str) -> RequestUnanswered:
-    return RequestUnanswered(verdict=Verdict.RAN, reason=f"download broke ({reason}); {why}")
+def _cannot_resume(reason: str, detail: str) -> RequestUnanswered:
+    return RequestUnanswered(verdict=Verdict.RAN, reason=f"download broke ({reason}); {detail}")
--- a/src/wagtailpoint/caller/entries.py
+++ b/src/wagtailpoint/caller/entries.py
@@ -14,9 +14,9 @@
 from wagtailpoint.retries.policy import order_for_retry
 
 LOOKUP_PATH = "/v1/lookup"
-_ASK_TIMEOUT_S = 1.0
-_STALE_HOLD_S = 0.5
-_SUSPECT_S = 2.0
+_LOOKUP_TIMEOUT_S = 1.0
+_FAILED_LOOKUP_DELAY_S = 0.5
+_SUSPECT_RETENTION_S = 2.0
 _OK = 200
 
 
@@ -38,24 +38,24 @@
         seeds: Sequence[EntryAddress],
         workspace: str,
         address: str,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self._exchanges = exchanges
         self._seeds = tuple(seeds)
         self._target = f"{LOOKUP_PATH}?{urlencode({'workspace': workspace, 'address': address})}"
-        self._chance = chance
+        self._rng = rng
         self._known: tuple[KnownEntry, ...] = ()
         self._fresh_until = float("-inf")
         self._suspects: dict[EntryAddress, float] = {}
-        self._asking = trio.Lock()
+        self._lookup_lock = trio.Lock()
 
-    def outdate(self) -> None:
+    def mark_stale(self) -> None:
         """Ask again before the next use: an answer of an entry showed that ours is old."""
         self._fresh_until = float("-inf")
 
-    def suspect(self, address: EntryAddress) -> None:
+    def mark_suspect(self, address: EntryAddress) -> None:
         """Use an entry last for a while: it did not answer, and lookups may not know it yet."""
-        self._suspects[address] = trio.current_time() + _SUSPECT_S
+        self._suspects[address] = trio.current_time() + _SUSPECT_RETENTION_S
 
     async def choose(self, tried: Sequence[KnownEntry], *, until: float) -> KnownEntry:
         """Return the entry to use next; when all were tried, the best again.
@@ -63,24 +63,24 @@
         Raises:
             NoEntryAvailable: No entry answers lookups, and none was known before.
         """
-        known = sorted(await self._current(until), key=self._is_suspect)
+        known = sorted(await self._current_entries(until), key=self._is_suspect)
         return (order_for_retry(known, tried) or known)[0]
 
     def _is_suspect(self, entry: KnownEntry) -> bool:
         return self._suspects.get(entry.address, 0.0) > trio.current_time()
 
-    async def _current(self, until: float) -> tuple[KnownEntry, ...]:
-        async with self._asking:
+    async def _current_entries(self, until: float) -> tuple[KnownEntry, ...]:
+        async with self._lookup_lock:
             if trio.current_time() >= self._fresh_until:
                 await self._refresh(until)
             return self._known
 
     async def _refresh(self, until: float) -> None:
         reasons = []
-        for address in self._whom_to_ask():
-            answer = await self._ask(address, until)
+        for address in self._lookup_addresses():
+            answer = await self._look_up(address, until)
             if not isinstance(answer, str):
-                self._known = tuple(_known(entry) for entry in answer["entries"])
+                self._known = tuple(_to_known_entry(entry) for entry in answer["entries"])
                 self._fresh_until = trio.current_time() + answer["ttl_s"]
                 return
             reasons.append(f"{address} {answer}")
@@ -91,18 +91,18 @@
             )
         # An old answer is better than none: entries may serve although they do not answer
         # lookups. A binding in it may be old by now; the entry then refuses it, see `keys`.
-        self._fresh_until = trio.current_time() + _STALE_HOLD_S
+        self._fresh_until = trio.current_time() + _FAILED_LOOKUP_DELAY_S
 
-    def _whom_to_ask(self) -> list[EntryAddress]:
+    def _lookup_addresses(self) -> list[EntryAddress]:
         known = [entry.address for entry in self._known]
         seeds = list(self._seeds)
         # Shuffled, or the first seed would answer the lookups of all callers.
-        self._chance.shuffle(seeds)
+        self._rng.shuffle(seeds)
         return list(dict.fromkeys(known + seeds))
 
-    async def _ask(self, address: EntryAddress, until: float) -> LookupAnswer | str:
+    async def _look_up(self, address: EntryAddress, until: float) -> LookupAnswer | str:
         """Return the answer, or in one word why there is none."""
-        until = min(until, trio.current_time() + _ASK_TIMEOUT_S)
+        until = min(until, trio.current_time() + _LOOKUP_TIMEOUT_S)
         reply = await self._exchanges.exchange(
             address, Outgoing("GET", self._target, [], b""), until=until
         )
@@ -117,6 +117,6 @@
         return answer if answer["entries"] else "no-entries"
 
 
-def _known(entry: LookupEntry) -> KnownEntry:
+def _to_known_entry(entry: LookupEntry) -> KnownEntry:
     address = EntryAddress(entry["address"], entry["port"])
     return KnownEntry(address, entry["failure_domain"], entry["binding"])
--- a/src/wagtailpoint/caller/exchange.py
+++ b/src/wagtailpoint/caller/exchange.py
@@ -12,12 +12,12 @@
 
 Headers = Sequence[tuple[bytes, bytes]]
 
-_FIRST_REFUSED_STATUS = 400
-_MS = 1000
+_MIN_REFUSAL_STATUS = 400
+_MS_PER_S = 1000
 # Hypercorn closes an idle connection after 5 s; using one just then would lose the request.
-_KEEPALIVE_S = 4.0
+_KEEPALIVE_TIMEOUT_S = 4.0
 ANSWER_MARGIN_S = 0.25
-ANSWER_MARGIN_PART = 0.15
+ANSWER_MARGIN_FRACTION = 0.15
 """The entry is told to be done so much earlier (seconds, and at most this part of the remaining
 time) than its answer is waited for."""
 
@@ -108,7 +108,7 @@
         await self._response.aclose()
 
 
-class _Sent:
+class _SendTracker:
     """Learns from httpcore whether a byte of the request may have left."""
 
     def __init__(self) -> None:
@@ -131,7 +131,7 @@
         self._connect_timeout_s = connect_timeout_s
         self._idle_timeout_s = idle_timeout_s
         self._pool = httpcore.AsyncConnectionPool(
-            max_connections=None, keepalive_expiry=_KEEPALIVE_S, retries=0
+            max_connections=None, keepalive_expiry=_KEEPALIVE_TIMEOUT_S, retries=0
         )
 
     async def aclose(self) -> None:
@@ -176,7 +176,7 @@
         deadline: float | None = None,
     ) -> OpenReply | Reply | Broken:
         """Send one copy and wait for the response's headers; a refusal is read whole."""
-        sent = _Sent()
+        sent = _SendTracker()
         with trio.move_on_at(until):
             try:
                 return await self._open(entry, outgoing, sent, until, deadline or until)
@@ -190,14 +190,14 @@
         self,
         entry: EntryAddress,
         outgoing: Outgoing,
-        sent: _Sent,
+        sent: _SendTracker,
         until: float,
         deadline: float,
     ) -> OpenReply | Reply:
         request_id = secrets.token_hex(8).encode()
         now = trio.current_time()
         remaining_s = max(0.0, until - now)
-        told_s = _told_s(max(0.0, deadline - now))
+        entry_deadline_s = _subtract_answer_margin(max(0.0, deadline - now))
         request = httpcore.Request(
             method=outgoing.method,
             url=httpcore.URL(
@@ -206,7 +206,7 @@
                 port=entry.port,
                 target=outgoing.target.encode(),
             ),
-            headers=_wire_headers(entry, outgoing, request_id, told_s),
+            headers=_wire_headers(entry, outgoing, request_id, entry_deadline_s),
             content=outgoing.body,
             extensions={"trace": sent.trace, "timeout": self._timeouts(remaining_s)},
         )
@@ -214,7 +214,7 @@
         opened = OpenReply(response=response)
         try:
             _check_request_id(response, request_id)
-            if response.status >= _FIRST_REFUSED_STATUS:
+            if response.status >= _MIN_REFUSAL_STATUS:
                 return await opened.read()
         except BaseException:
             await opened.aclose()
@@ -229,36 +229,36 @@
         }
 
 
-def _told_s(remaining_s: float) -> float:
+def _subtract_answer_margin(remaining_s: float) -> float:
     # A refusal that is decided at the deadline would come when nobody waits for it any more, and
     # its caller would have to take the request as one that may have run.
-    return remaining_s - min(ANSWER_MARGIN_S, ANSWER_MARGIN_PART * remaining_s)
+    return remaining_s - min(ANSWER_MARGIN_S, ANSWER_MARGIN_FRACTION * remaining_s)
 
 
 def _wire_headers(
     entry: EntryAddress, outgoing: Outgoing, request_id: bytes, remaining_s: float
 ) -> list[tuple[bytes, bytes]]:
     # Rounded up: a deadline of 0 would be refused.
-    deadline_ms = str(math.ceil(remaining_s * _MS)).encode()
-    wire = [
+    deadline_ms = str(math.ceil(remaining_s * _MS_PER_S)).encode()
+    wire_headers = [
         (b"host", str(entry).encode()),
         (headers.DEADLINE_MS, deadline_ms),
         (headers.REQUEST_ID, request_id),
         *outgoing.headers,
     ]
     if outgoing.body:
-        wire.append((b"content-length", str(len(outgoing.body)).encode()))
-    return wire
+        wire_headers.append((b"content-length", str(len(outgoing.body)).encode()))
+    return wire_headers
 
 
-def _check_request_id(response: httpcore.Response, asked: bytes) -> None:
+def _check_request_id(response: httpcore.Response, expected_id: bytes) -> None:
     # An answer to another request on our connection (crossed, or late after a timeout) would be
     # taken for ours: one workspace would read another's certificate.
-    answered = find_header(response.headers, headers.REQUEST_ID)
-    if answered is not None and answered != asked:
+    response_id = find_header(response.headers, headers.REQUEST_ID)
+    if response_id is not None and response_id != expected_id:
         raise BrokenReply("crossed-answer")
 
 
-def find_header(of: Headers, name: bytes) -> bytes | None:
+def find_header(header_fields: Headers, name: bytes) -> bytes | None:
     """Return a header's value; ``name`` in lower case."""
-    return next((value for key, value in of if key.lower() == name), None)
+    return next((value for key, value in header_fields if key.lower() == name), None)
--- a/src/wagtailpoint/caller/keys.py
+++ b/src/wagtailpoint/caller/keys.py
@@ -14,7 +14,9 @@
 from wagtailpoint.verdict import Verdict
 
 # The copy that got this answer will not run, but the entry cannot speak for earlier copies.
-_THIS_COPY_REFUSED = frozenset({RefusalCode.STALE_EPOCH.value, RefusalCode.OTHER_INCARNATION.value})
+_COPY_REFUSAL_CODES = frozenset(
+    {RefusalCode.STALE_EPOCH.value, RefusalCode.OTHER_INCARNATION.value}
+)
 
 
 class BoundKey:
@@ -41,7 +43,7 @@
         return self._copies
 
     @property
-    def certain(self) -> bool:
+    def is_not_run_certain(self) -> bool:
         """Whether a ``not-run`` may be told: nothing else of this key is on its way, or may be."""
         return self._copies == 0 and self._calls == 1
 
@@ -65,7 +67,7 @@
         self._copies += 1
 
     def settle(
-        self, entry: KnownEntry, result: Reply | Broken, *, elsewhere: bool = False
+        self, entry: KnownEntry, result: Reply | Broken, *, via_other_entry: bool = False
     ) -> Reply | Broken:
         """Draw the consequences of one copy's result.
 
@@ -79,28 +81,32 @@
         """
         if isinstance(result, Broken):
             if not result.sent:
-                self._take_back(entry)
+                self._discard_unsent_copy(entry)
             return result
         verdict = read_verdict(result.headers)
         if entry is not self._entry and verdict is not Verdict.RAN:
             # A late answer to an attempt that is over says nothing of the one that followed.
             return with_verdict(result, Verdict.MAY_HAVE_RUN)
-        only_copy = self._copies == 1
-        refused = refusal_code(result.status, result.body)
-        if elsewhere and refused != RefusalCode.KEY_REFUSED.value and verdict is Verdict.NOT_RUN:
+        is_only_copy = self._copies == 1
+        refusal = refusal_code(result.status, result.body)
+        if (
+            via_other_entry
+            and refusal != RefusalCode.KEY_REFUSED.value
+            and verdict is Verdict.NOT_RUN
+        ):
             # Whatever else it refuses, another entry speaks for the copy that it got; this code
             # says that it asked the bound entry, which has forbidden the key.
             verdict = Verdict.MAY_HAVE_RUN
-        elif only_copy and refused in _THIS_COPY_REFUSED:
+        elif is_only_copy and refusal in _COPY_REFUSAL_CODES:
             verdict = Verdict.NOT_RUN
-        elif verdict is Verdict.NOT_RUN and not entry.binding and not only_copy:
+        elif verdict is Verdict.NOT_RUN and not entry.binding and not is_only_copy:
             # Without a binding a refusal speaks for its own copy only.
             verdict = Verdict.MAY_HAVE_RUN
         if verdict is Verdict.NOT_RUN:
-            self._next_attempt()
+            self._start_next_attempt()
         return with_verdict(result, verdict)
 
-    def _take_back(self, entry: KnownEntry) -> None:
+    def _discard_unsent_copy(self, entry: KnownEntry) -> None:
         """A copy certainly did not leave."""
         if entry is not self._entry:
             return
@@ -108,7 +114,7 @@
         if self._copies == 0:
             self._entry = None
 
-    def _next_attempt(self) -> None:
+    def _start_next_attempt(self) -> None:
         """No copy of this attempt will run: the next one may be bound anywhere."""
         self._entry = None
         self._copies = 0
@@ -118,8 +124,8 @@
 class CallerKeys:
     """The keys of one caller, the newest of them."""
 
-    def __init__(self, *, most_keys: int) -> None:
-        self._most_keys = most_keys
+    def __init__(self, *, max_keys: int) -> None:
+        self._max_keys = max_keys
         self._keys: OrderedDict[str, BoundKey] = OrderedDict()
 
     def get(self, key: str) -> BoundKey:
@@ -128,7 +134,7 @@
         if bound is None:
             bound = self._keys[key] = BoundKey()
         self._keys.move_to_end(key)
-        if len(self._keys) > self._most_keys:
+        if len(self._keys) > self._max_keys:
             self._keys.popitem(last=False)
         return bound
 
--- a/tests/cover/test_caller.py
+++ b/tests/cover/test_caller.py
@@ -11,16 +11,16 @@
 from wagtailpoint.verdict import Verdict
 
 LIMIT_S = 30
-BIG = bytes(range(256)) * 64
+LARGE_BODY = bytes(range(256)) * 64
 ETAG = ("ETag", '"v1"')
 
 
-def says(*script: Say | None) -> Handler:
+def answer_with(*script: Say | None) -> Handler:
     """Answer with the script's lines in turn, then with its last for ever."""
-    left = list(script)
+    remaining = list(script)
 
     async def handler(_seen: Seen) -> Say | None:
-        return left.pop(0) if len(left) > 1 else left[0]
+        return remaining.pop(0) if len(remaining) > 1 else remaining[0]
 
     return handler
 
@@ -73,7 +73,7 @@
             self.assertEqual((answer.status, answer.verdict), (200, Verdict.RAN))
             self.assertEqual(answer.entry, (self.second.address, PORT))
 
-        self.run_with(says(None), says(Say(200)), scenario)
+        self.run_with(answer_with(None), answer_with(Say(200)), scenario)
         self.assertEqual(self.first.lookups, 1)
 
     def test_get_leaves_a_frozen_entry(self) -> None:
@@ -81,7 +81,7 @@
             answer = await caller.request("GET", "/x", deadline_s=2.0)
             self.assertEqual(answer.entry.address, self.second.address)
 
-        self.run_with(hang, says(Say(200)), scenario)
+        self.run_with(hang, answer_with(Say(200)), scenario)
 
     def test_post_without_key_is_never_repeated(self) -> None:
         async def scenario(caller: Caller) -> None:
@@ -89,14 +89,14 @@
                 await caller.request("POST", "/x", body=b"1", deadline_s=10.0)
             self.assertEqual(raised.exception.verdict, Verdict.MAY_HAVE_RUN)
 
-        self.run_with(says(None), says(Say(200)), scenario)
+        self.run_with(answer_with(None), answer_with(Say(200)), scenario)
         self.assertEqual((len(self.first.seen), len(self.second.seen)), (1, 0))
 
     def test_key_is_repeated_under_its_first_binding_only(self) -> None:
         async def scenario(caller: Caller) -> None:
             self.assertEqual((await self.release(caller)).status, 201)
 
-        self.run_with(says(None, Say(201)), says(OTHER_INCARNATION), scenario)
+        self.run_with(answer_with(None, Say(201)), answer_with(OTHER_INCARNATION), scenario)
         self.assertEqual(bindings(self.first), [b"a" * 16 + b".1"] * 2)
         self.assertEqual(bindings(self.second), [b"a" * 16 + b".1"])
 
@@ -111,7 +111,7 @@
             answer = await self.release(caller)
             self.assertEqual((answer.status, answer.verdict), (201, Verdict.RAN))
 
-        self.run_with(says(None), says(Say(201)), scenario)
+        self.run_with(answer_with(None), answer_with(Say(201)), scenario)
         self.assertEqual(bindings(self.second), [b"a" * 16 + b".1"])
 
     def test_key_forbidden_through_another_entry_is_bound_anew(self) -> None:
@@ -119,7 +119,7 @@
             self.assertEqual((await self.release(caller)).status, 201)
 
         forbidden = refuse("key-refused", status=409)
-        self.run_with(says(None), says(forbidden, Say(201)), scenario)
+        self.run_with(answer_with(None), answer_with(forbidden, Say(201)), scenario)
         self.assertEqual(bindings(self.second), [b"a" * 16 + b".1", b"b" * 16 + b".1.1"])
 
     def test_other_refusals_elsewhere_say_nothing_of_the_first_copy(self) -> None:
@@ -132,7 +132,7 @@
         async def scenario(caller: Caller) -> None:
             self.assertEqual((await self.release(caller)).status, 201)
 
-        self.run_with(says(None, None, Say(201)), says(refuse("no-slot")), scenario)
+        self.run_with(answer_with(None, None, Say(201)), answer_with(refuse("no-slot")), scenario)
         self.assertEqual(set(bindings(self.second)), {b"a" * 16 + b".1"})
 
     def test_key_stays_bound_after_the_request_gave_up(self) -> None:
@@ -149,10 +149,10 @@
             except RequestUnanswered as unanswered:
                 self.assertEqual(unanswered.verdict, Verdict.MAY_HAVE_RUN)
             self.first.listed.reverse()
-            self.first.handler = says(Say(201))
+            self.first.handler = answer_with(Say(201))
             self.assertEqual((await self.release(caller)).status, 201)
 
-        self.run_with(hang, says(OTHER_INCARNATION), scenario)
+        self.run_with(hang, answer_with(OTHER_INCARNATION), scenario)
         self.assertEqual(set(bindings(self.first)), {b"a" * 16 + b".1"})
         self.assertEqual(set(bindings(self.second)), {b"a" * 16 + b".1"})
 
@@ -160,7 +160,7 @@
         async def scenario(caller: Caller) -> None:
             self.assertEqual((await self.release(caller)).status, 201)
 
-        self.run_with(says(refuse("no-slot")), says(Say(201)), scenario)
+        self.run_with(answer_with(refuse("no-slot")), answer_with(Say(201)), scenario)
         self.assertEqual(bindings(self.second), [b"b" * 16 + b".1.1"])
 
     def test_old_binding_of_the_only_copy_is_renewed(self) -> None:
@@ -173,7 +173,7 @@
         async def scenario(caller: Caller) -> None:
             self.assertEqual((await self.release(caller)).status, 201)
 
-        self.run_with(says(OTHER_INCARNATION), says(Say(201)), scenario)
+        self.run_with(answer_with(OTHER_INCARNATION), answer_with(Say(201)), scenario)
         self.assertEqual(len(self.second.seen), 1)
 
     def test_restarted_entry_after_a_lost_copy(self) -> None:
@@ -187,7 +187,9 @@
             answer = await self.release(caller)
             self.assertEqual((answer.status, answer.verdict), (409, Verdict.MAY_HAVE_RUN))
 
-        self.run_with(says(None, OTHER_INCARNATION), says(OTHER_INCARNATION), scenario)
+        self.run_with(
+            answer_with(None, OTHER_INCARNATION), answer_with(OTHER_INCARNATION), scenario
+        )
         self.assertEqual(set(bindings(self.second)), {b"a" * 16 + b".1"})
 
     def test_nothing_was_sent_to_a_dead_entry(self) -> None:
@@ -195,7 +197,7 @@
             self.first.listed.insert(0, ScriptedEntry(handler=hang))
             self.assertEqual((await self.release(caller)).status, 201)
 
-        self.run_with(says(Say(201)), says(Say(201)), scenario)
+        self.run_with(answer_with(Say(201)), answer_with(Say(201)), scenario)
         self.assertEqual(len(self.first.seen) + len(self.second.seen), 1)
 
     def test_retry_after_beyond_the_deadline_is_not_awaited(self) -> None:
@@ -206,7 +208,7 @@
             self.assertLess(trio.current_time() - started, 20.0)
 
         refusal = refuse("no-slot", retry_after=60)
-        self.run_with(says(refusal), says(refusal), scenario)
+        self.run_with(answer_with(refusal), answer_with(refusal), scenario)
 
     def test_quarantined_request_is_not_repeated(self) -> None:
         """Guards against repeats, elsewhere, of a request that crashes backend servers."""
@@ -215,7 +217,9 @@
             answer = await caller.request("GET", "/x", deadline_s=10.0)
             self.assertEqual((answer.code, answer.verdict), ("quarantined", Verdict.NOT_RUN))
 
-        self.run_with(says(refuse("quarantined", retry_after=60)), says(Say(200)), scenario)
+        self.run_with(
+            answer_with(refuse("quarantined", retry_after=60)), answer_with(Say(200)), scenario
+        )
         self.assertEqual((len(self.first.seen), len(self.second.seen)), (1, 0))
 
     def test_crossed_answer_is_dropped(self) -> None:
@@ -226,16 +230,16 @@
             self.assertEqual(answer.body, b"mine")
 
         crossed = Say(200, body=b"theirs", headers=[("Wagtailpoint-Request-Id", "other")])
-        self.run_with(says(crossed), says(Say(200, body=b"mine")), scenario)
+        self.run_with(answer_with(crossed), answer_with(Say(200, body=b"mine")), scenario)
 
     def test_old_lookup_serves_while_no_entry_answers_lookups(self) -> None:
         async def scenario(caller: Caller) -> None:
             await caller.request("GET", "/x", deadline_s=10.0)
             self.first.answers_lookups = self.second.answers_lookups = False
-            caller._entries.outdate()
+            caller._entries.mark_stale()
             self.assertEqual((await caller.request("GET", "/x", deadline_s=10.0)).status, 200)
 
-        self.run_with(says(Say(200)), says(Say(200)), scenario)
+        self.run_with(answer_with(Say(200)), answer_with(Say(200)), scenario)
 
     def test_no_entry_at_all(self) -> None:
         async def main() -> None:
@@ -259,14 +263,14 @@
         async def rest(seen: Seen) -> Say | None:
             self.assertEqual(seen.headers[b"if-range"], b'"v1"')
             first = int(seen.headers[b"range"].removeprefix(b"bytes=").removesuffix(b"-"))
-            span = ("Content-Range", f"bytes {first}-{len(BIG) - 1}/{len(BIG)}")
-            return Say(206, body=BIG[first:], headers=[ETAG, span])
+            span = ("Content-Range", f"bytes {first}-{len(LARGE_BODY) - 1}/{len(LARGE_BODY)}")
+            return Say(206, body=LARGE_BODY[first:], headers=[ETAG, span])
 
         async def scenario(caller: Caller) -> None:
-            self.assertEqual(await self.download(caller), BIG)
+            self.assertEqual(await self.download(caller), LARGE_BODY)
 
         # Both resume: which of them is asked again is the lookup's choice.
-        cut = Say(200, body=BIG, headers=[ETAG], cut_after=1000)
+        cut = Say(200, body=LARGE_BODY, headers=[ETAG], cut_after=1000)
         served = [False]
 
         async def first(seen: Seen) -> Say | None:
@@ -282,5 +286,5 @@
             with self.assertRaisesRegex(RequestUnanswered, "no strong ETag"):
                 await self.download(caller)
 
-        cut = Say(200, body=BIG, cut_after=1000)
-        self.run_with(says(cut), says(cut), scenario)
+        cut = Say(200, body=LARGE_BODY, cut_after=1000)
+        self.run_with(answer_with(cut), answer_with(cut), scenario)
--- a/tests/cover/test_caller_keys.py
+++ b/tests/cover/test_caller_keys.py
@@ -57,8 +57,8 @@
 
     def test_not_run_is_not_certain_while_another_call_goes_on(self) -> None:
         with self.bound.call():
-            self.assertTrue(self.bound.certain)
+            self.assertTrue(self.bound.is_not_run_certain)
             with self.bound.call():
-                self.assertFalse(self.bound.certain)
+                self.assertFalse(self.bound.is_not_run_certain)
             self.send(ONE)
-            self.assertFalse(self.bound.certain)
+            self.assertFalse(self.bound.is_not_run_certain)
--- a/tests/cover/test_object_store.py
+++ b/tests/cover/test_object_store.py
@@ -122,7 +122,7 @@
             item % (b"i-3", b'{"n":3}'),
         ]
         listing = b'{"items":[%s],"HasMore":false,"StoreRevision":9}' % b",".join(items)
-        events = b",".join(b'{"Object":%s,"Deleted":false}' % item for item in items)
+        events = b",".join(b'{"Object":%s,"Deleted":false}' % entry for entry in items)
 
         async def connection(stream: ScriptedStream) -> None:
             while request := await stream.request():
