--- a/src/wagtailpoint/caller/answer.py
+++ b/src/wagtailpoint/caller/answer.py
@@ -1,4 +1,4 @@
-"""What a caller's request came to."""
+"""The answer to a caller's request, and the parsing of its verdict and refusal code."""
 
 from typing import Any, NamedTuple
 
@@ -10,14 +10,14 @@
 
 
 class Answer(NamedTuple):
-    """A whole answer.
+    """A complete answer to a request.
 
     Attributes:
         status: HTTP status; a refusal has 400 or more.
         headers: All response headers.
         body: The whole body.
         verdict: Whether the request ran.
-        entry: Who answered.
+        entry: The entry that answered.
     """
 
     status: int
@@ -33,12 +33,12 @@
 
 
 def make_answer(reply: Reply, entry: EntryAddress) -> Answer:
-    """Read the verdict of a reply."""
+    """Build the answer from the reply of an entry."""
     return Answer(reply.status, reply.headers, reply.body, read_verdict(reply.headers), entry)
 
 
 def read_verdict(header_fields: Headers) -> Verdict:
-    """Return the verdict that an answer carries; without one the request may have run."""
+    """Return the verdict in the headers; without a valid one the request may have run."""
     value = find_header(header_fields, headers.VERDICT) or b""
     try:
         return Verdict(value.decode("ascii", "replace"))
@@ -47,13 +47,13 @@
 
 
 def read_retry_after_s(header_fields: Headers) -> float:
-    """Return when to come back, in seconds; 0 if it is not said."""
+    """Return the value of ``Retry-After`` in seconds; 0 if it is absent or a date."""
     value = find_header(header_fields, headers.RETRY_AFTER) or b""
     return float(value) if value.isdigit() else 0.0
 
 
 def refusal_code(status: int, body: bytes) -> str | None:
-    """Return the code in a refusal's JSON body; None if there is none."""
+    """Return the code in a refusal's JSON body; None if the body has none."""
     if status < 400:
         return None
     try:
@@ -65,7 +65,7 @@
 
 
 def with_verdict(reply: Reply, verdict: Verdict) -> Reply:
-    """Return a reply that carries another verdict."""
+    """Return the reply with its verdict replaced."""
     if read_verdict(reply.headers) is verdict:
         return reply
     others = [(name, value) for name, value in reply.headers if name.lower() != headers.VERDICT]
--- a/src/wagtailpoint/caller/caller.py
+++ b/src/wagtailpoint/caller/caller.py
@@ -1,4 +1,4 @@
-"""The caller library: requests through the best entry, repeated when and only when they may be."""
+"""The caller library: sends requests through the best entry and retries them when it is safe."""
 
 import random
 from collections.abc import AsyncIterator, Sequence
@@ -43,25 +43,25 @@
 _MAX_COPIES = 6
 
 MIN_REMAINING_FRACTION = 0.25
-"""A key that was refused is not bound anew when less than this part of the time is left: a new
-attempt that does not end in time would make a certain ``not-run`` into a ``may-have-run``."""
+"""A refused key is not bound to another entry when less than this fraction of the time is left: a
+new attempt that misses the deadline would turn a certain ``not-run`` into a ``may-have-run``."""
 
 
 class _Monotonic:
-    """The clock of the retry budget."""
+    """Adapts trio's clock to the retry budget."""
 
     def monotonic(self) -> float:
         return trio.current_time()
 
     def wall(self) -> float:
-        raise NotImplementedError("the caller needs no wall clock")
+        raise NotImplementedError("the caller library does not use a wall clock")
 
 
 class Caller:
     """Sends requests of one workspace.
 
-    Use as an async context manager, for a long time and by many tasks: it holds the connections,
-    the lookup's answer and the bindings of the keys.
+    Use one as an async context manager for many requests and tasks: it holds the connections, the
+    cached lookup and the bindings of the idempotency keys.
     """
 
     def __init__(
@@ -77,19 +77,19 @@
         most_keys: int = 10_000,
         seed: int | None = None,
     ) -> None:
-        """Make a caller; nothing is sent yet.
+        """Initialise the caller; nothing is sent yet.
 
         Args:
-            entries: Some entry instances, as IP number and port, for the first lookup.
-            workspace: The workspace whose requests these are.
-            address: The client's IP number, from which the nearest region is found.
-            retry_ratio: Retries allowed as a part of fresh requests.
-            retries_per_s: Retries a second that are always allowed.
-            connect_timeout_s: The longest wait for a connection, in seconds.
-            idle_timeout_s: The longest silence within a download, in seconds.
-            most_keys: The idempotency keys whose bindings are remembered. Do not repeat a key
+            entries: Some entry instances, as IP address and port, for the first lookup.
+            workspace: The workspace of the requests.
+            address: The client's IP address, which determines the nearest region.
+            retry_ratio: Allowed retries as a fraction of first attempts.
+            retries_per_s: Retries per second that are always allowed.
+            connect_timeout_s: Maximum time to open a connection, in seconds.
+            idle_timeout_s: Maximum time without data within a download, in seconds.
+            most_keys: Number of idempotency keys whose bindings are stored. Do not reuse a key
                 after as many newer ones, nor with another caller: it could run again.
-            seed: Of the jitter; None for a random one.
+            seed: Seed of the jitter and of the order of lookups; None for a random one.
         """
         self._workspace = workspace
         self._rng = random.Random(seed)
@@ -136,13 +136,13 @@
             path: Path and query.
             body: The whole body.
             headers: More headers.
-            idempotency_key: Names a non-idempotent request, so that it may be repeated. To go on
-                after ``may-have-run``, repeat it with the same key and caller.
-            deadline_s: Seconds for everything, retries included.
+            idempotency_key: Identifies a non-idempotent request, so that it can be retried. After
+                ``may-have-run``, repeat the request with the same key and the same caller.
+            deadline_s: Maximum time in seconds, including retries.
 
         Raises:
-            RequestUnanswered: No whole answer within the deadline; it carries the verdict.
-            NoEntryAvailable: No entry is known or answers; nothing was sent.
+            RequestUnanswered: No complete answer within the deadline; the error has the verdict.
+            NoEntryAvailable: No entry is known or answers lookups; nothing was sent.
         """
         until = trio.current_time() + deadline_s
         outgoing = self._outgoing(method, path, headers, body)
@@ -163,8 +163,8 @@
             method: HTTP method.
             path: Path and query.
             headers: More headers.
-            deadline_s: Seconds until the response's headers, at the start and at each resumption;
-                the body may take any time but must not fall silent.
+            deadline_s: Maximum time until the response's headers, in seconds, at the start and at
+                each resumption. The body may take any time, but ``idle_timeout_s`` applies to it.
 
         Raises:
             RequestUnanswered: As in ``request``.
@@ -193,7 +193,7 @@
     async def _send(
         self, outgoing: Outgoing, until: float, *, read_body: bool
     ) -> tuple[OpenReply | Reply, KnownEntry]:
-        """Send a request without a key."""
+        """Send a request without an idempotency key, with retries."""
         idempotent = outgoing.method in IDEMPOTENT_METHODS
         exchange = self._exchanges.exchange if read_body else self._exchanges.open
         tried: list[KnownEntry] = []
@@ -247,10 +247,10 @@
     async def _choose_receiver(
         self, bound_entry: KnownEntry, tried: list[KnownEntry], until: float
     ) -> KnownEntry:
-        """Return the bound entry, or another one when the last copy there was not answered.
+        """Return the bound entry, or another one if the last copy sent there was not answered.
 
-        The link to the bound entry may be cut for this caller only. Another entry never runs the
-        key, but asks the bound one how it ended; after that it is the bound entry's turn again.
+        The link to the bound entry may be cut for this caller only. Another entry does not run the
+        key but asks the bound entry for the outcome; the next copy goes to the bound entry again.
         """
         if not bound_entry.binding or not tried or tried[-1].address != bound_entry.address:
             return bound_entry
@@ -260,12 +260,13 @@
     async def _may_send_copy(
         self, result: Reply | Broken, bound: BoundKey, tried: list[KnownEntry], until: float
     ) -> bool:
-        """Decide on another copy, and wait for its time."""
+        """Return whether to send another copy, after the delay before it."""
         if bound.entry is None:
             may_retry = self._may_retry(result, False, len(tried), until)
             return may_retry and await self._wait_before_retry(result, tried, until)
-        # The bound entry joins or repeats: safe and cheap, and the only way to learn the outcome.
-        # A little patience outlasts a cut connection; a dead entry does not come back.
+        # The bound entry joins the copy to the running request or repeats the stored answer: this
+        # is safe and cheap, and the only way to learn the outcome. The growing delays outlast a
+        # cut connection; more copies are useless, as a dead entry does not come back.
         if len(tried) >= _MAX_COPIES:
             return False
         return await self._sleep_with_jitter(_MIN_RETRY_DELAY_S * 2 ** len(tried), until)
@@ -274,7 +275,7 @@
         if isinstance(result, Broken):
             self._entries.mark_suspect(entry.address)
         elif result.status == HTTPStatus.CONFLICT:
-            # A conflict that may be repeated is an old binding: so the lookup's answer is old.
+            # A retryable conflict means an outdated binding, so the cached lookup is stale.
             self._entries.mark_stale()
 
     def _may_retry(
@@ -294,7 +295,7 @@
     async def _wait_before_retry(
         self, result: OpenReply | Reply | Broken, tried: list[KnownEntry], until: float
     ) -> bool:
-        """Wait before a repeat as the refusal asks; False if the deadline is too near for it."""
+        """Wait as long as the refusal asks for; return False if the deadline is before that."""
         next_entry = await self._entries.choose(tried, until=until)
         if next_entry.failure_domain not in {entry.failure_domain for entry in tried}:
             return True
@@ -304,7 +305,7 @@
         return await self._sleep_with_jitter(delay_s, until)
 
     async def _sleep_with_jitter(self, delay_s: float, until: float) -> bool:
-        # Jitter: callers refused together would otherwise come back together.
+        # Without jitter, callers that were refused together would retry together.
         delay_s *= 1 + _JITTER_FRACTION * self._rng.random()
         if trio.current_time() + delay_s >= until:
             return False
@@ -313,7 +314,7 @@
 
 
 def _attempt_until(until: float, attempts: int) -> float:
-    """Leave half of the time for a repeat, in case the entry is frozen."""
+    """Return the end of an attempt, which leaves half of the time in case the entry is frozen."""
     if attempts + 1 >= MAX_ATTEMPTS:
         return until
     now = trio.current_time()
@@ -340,13 +341,13 @@
     if result.status == HTTPStatus.CONFLICT:
         return verdict is Verdict.NOT_RUN or _cannot_learn_outcome(result)
     if _code(result) == RefusalCode.QUARANTINED.value:
-        # All entries refuse it.
+        # All entries refuse a quarantined request.
         return False
     return result.status in _RETRYABLE_STATUSES and verdict is not Verdict.RAN
 
 
 def _cannot_learn_outcome(result: OpenReply | Reply) -> bool:
-    """Whether another entry than the bound one could not learn how the key ended."""
+    """Return whether an entry other than the bound one could not learn the key's outcome."""
     return _code(result) == RefusalCode.OTHER_INCARNATION.value
 
 
@@ -362,7 +363,7 @@
 
 def _corrected_keyed_reply(result: Reply | Broken, bound: BoundKey) -> Reply:
     if isinstance(result, Broken):
-        # A copy that never left says nothing of an earlier one that did.
+        # A copy that was not sent shows nothing about an earlier one that was.
         verdict = Verdict.NOT_RUN if bound.is_not_run_certain else Verdict.MAY_HAVE_RUN
         raise RequestUnanswered(verdict=verdict, reason=result.reason)
     if read_verdict(result.headers) is Verdict.NOT_RUN and not bound.is_not_run_certain:
--- a/src/wagtailpoint/caller/download.py
+++ b/src/wagtailpoint/caller/download.py
@@ -1,4 +1,4 @@
-"""A large download that survives the loss of an entry."""
+"""Large downloads, resumed at another entry after a failure."""
 
 import re
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -26,8 +26,8 @@
 class Download:
     """A response that is read in chunks.
 
-    When it breaks, an idempotent download with a strong validator goes on at another entry with
-    the first byte that is missing; any other raises, and never ends as if it were whole.
+    After a failure, a GET with a strong validator is resumed at another entry from the first
+    missing byte. Any other download raises an error, so that it never looks complete.
     """
 
     def __init__(self, *, outgoing: Outgoing, reopen: Reopen) -> None:
@@ -41,7 +41,7 @@
 
     @property
     def status(self) -> int:
-        """HTTP status; 400 or more is a refusal, whose body is read the same way."""
+        """HTTP status; 400 or more is a refusal, whose body is read in the same way."""
         return self._status
 
     @property
@@ -51,7 +51,7 @@
 
     @property
     def entry(self) -> EntryAddress | None:
-        """Who sends it now."""
+        """The entry that sends the current response."""
         return self._entry
 
     async def open(self) -> None:
@@ -61,15 +61,15 @@
         self._headers = self._reply.headers
 
     async def aclose(self) -> None:
-        """Free the connection."""
+        """Release the connection."""
         if isinstance(self._reply, OpenReply):
             await self._reply.aclose()
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Read the body to its promised end.
+        """Read the body to its end.
 
         Raises:
-            RequestUnanswered: It broke and cannot be resumed.
+            RequestUnanswered: The download broke and can't be resumed.
         """
         without_progress = 0
         while True:
@@ -87,20 +87,22 @@
                 reason = str(broken)
             without_progress += 1
             if without_progress > _MAX_RESUMPTIONS_WITHOUT_PROGRESS:
-                raise _cannot_resume(reason, "it broke again and again without a byte")
+                raise _cannot_resume(reason, "it failed repeatedly without any progress")
             await self._resume(reason)
 
     async def _resume(self, reason: str) -> None:
         validator = find_header(self._headers, b"etag")
         if self._outgoing.method != "GET" or self._status != _OK:
-            raise _cannot_resume(reason, "only a whole GET can be resumed")
+            raise _cannot_resume(reason, "only a GET with status 200 can be resumed")
         if validator is None or validator.startswith(b"W/"):
             raise _cannot_resume(reason, "the response had no strong ETag")
         await self.aclose()
         range_headers = [(b"range", b"bytes=%d-" % self._received), (b"if-range", validator)]
         self._reply, self._entry = await self._reopen(range_headers)
         if self._reply.status != _PARTIAL or not self._matches_missing_range(self._reply.headers):
-            raise _cannot_resume(reason, f"status {self._reply.status} is not the missing range")
+            raise _cannot_resume(
+                reason, f"the answer with status {self._reply.status} is not the missing range"
+            )
 
     def _matches_missing_range(self, header_fields: Headers) -> bool:
         match = _CONTENT_RANGE.fullmatch(find_header(header_fields, b"content-range") or b"")
--- a/src/wagtailpoint/caller/entries.py
+++ b/src/wagtailpoint/caller/entries.py
@@ -1,4 +1,4 @@
-"""The caller's view of the entry instances: lookups with a cache."""
+"""The entry instances known to the caller, from cached lookups."""
 
 import random
 from collections.abc import Sequence
@@ -21,7 +21,7 @@
 
 
 class KnownEntry(NamedTuple):
-    """An entry of a lookup's answer."""
+    """An entry from the answer to a lookup."""
 
     address: EntryAddress
     failure_domain: str
@@ -29,7 +29,7 @@
 
 
 class Entries:
-    """Knows which entries to use, best first, and asks again when its answer is old."""
+    """Selects the entries to use, best first, and repeats the lookup when its answer is stale."""
 
     def __init__(
         self,
@@ -50,18 +50,18 @@
         self._lookup_lock = trio.Lock()
 
     def mark_stale(self) -> None:
-        """Ask again before the next use: an answer of an entry showed that ours is old."""
+        """Repeat the lookup before the next use: an entry's answer showed that it is stale."""
         self._fresh_until = float("-inf")
 
     def mark_suspect(self, address: EntryAddress) -> None:
-        """Use an entry last for a while: it did not answer, and lookups may not know it yet."""
+        """Prefer the other entries for a while: this one did not answer, and lookups may lag."""
         self._suspects[address] = trio.current_time() + _SUSPECT_RETENTION_S
 
     async def choose(self, tried: Sequence[KnownEntry], *, until: float) -> KnownEntry:
-        """Return the entry to use next; when all were tried, the best again.
+        """Return the entry to use next; if all were tried, the best one again.
 
         Raises:
-            NoEntryAvailable: No entry answers lookups, and none was known before.
+            NoEntryAvailable: No entry answers lookups, and no earlier answer is known.
         """
         known = sorted(await self._current_entries(until), key=self._is_suspect)
         return (order_for_retry(known, tried) or known)[0]
@@ -89,19 +89,19 @@
                 f"no entry answered a lookup ({', '.join(reasons)}); check the entries given to "
                 "Caller and the deadline"
             )
-        # An old answer is better than none: entries may serve although they do not answer
-        # lookups. A binding in it may be old by now; the entry then refuses it, see `keys`.
+        # A stale answer is better than none: entries may serve requests although they do not answer
+        # lookups. A binding in it may be outdated; the entry then refuses it, see `keys`.
         self._fresh_until = trio.current_time() + _FAILED_LOOKUP_DELAY_S
 
     def _lookup_addresses(self) -> list[EntryAddress]:
         known = [entry.address for entry in self._known]
         seeds = list(self._seeds)
-        # Shuffled, or the first seed would answer the lookups of all callers.
+        # Shuffled, as otherwise the first seed would answer the lookups of all callers.
         self._rng.shuffle(seeds)
         return list(dict.fromkeys(known + seeds))
 
     async def _look_up(self, address: EntryAddress, until: float) -> LookupAnswer | str:
-        """Return the answer, or in one word why there is none."""
+        """Return the answer to a lookup, or the reason why there is none."""
         until = min(until, trio.current_time() + _LOOKUP_TIMEOUT_S)
         reply = await self._exchanges.exchange(
             address, Outgoing("GET", self._target, [], b""), until=until
--- a/src/wagtailpoint/caller/exchange.py
+++ b/src/wagtailpoint/caller/exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange between the caller and an entry instance, over httpcore."""
+"""HTTP exchanges between the caller and entry instances, with httpcore."""
 
 import math
 import secrets
@@ -14,18 +14,18 @@
 
 _MIN_REFUSAL_STATUS = 400
 _MS_PER_S = 1000
-# Hypercorn closes an idle connection after 5 s; using one just then would lose the request.
+# Hypercorn closes an idle connection after 5 s; a request sent at that moment would be lost.
 _KEEPALIVE_TIMEOUT_S = 4.0
 ANSWER_MARGIN_S = 0.25
 ANSWER_MARGIN_FRACTION = 0.15
-"""The entry is told to be done so much earlier (seconds, and at most this part of the remaining
-time) than its answer is waited for."""
+"""The deadline sent to the entry is earlier than the caller's timeout by this many seconds, and at
+most by this fraction of the remaining time."""
 
 _HTTP_ERRORS = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
 
 
 class EntryAddress(NamedTuple):
-    """Where an entry instance listens towards callers."""
+    """The address on which an entry instance listens for callers."""
 
     address: str
     port: int
@@ -35,7 +35,7 @@
 
 
 class Outgoing(NamedTuple):
-    """A request as the caller's user gave it, with the headers that all copies share."""
+    """A request of the application, with the headers that all its copies share."""
 
     method: str
     target: str
@@ -44,7 +44,7 @@
 
 
 class Reply(NamedTuple):
-    """A whole response."""
+    """A complete response."""
 
     status: int
     headers: Headers
@@ -52,11 +52,11 @@
 
 
 class Broken(NamedTuple):
-    """An exchange without a whole response.
+    """An exchange without a complete response.
 
     Attributes:
-        sent: A byte of the request may have left.
-        reason: One word.
+        sent: Whether a byte of the request may have been sent.
+        reason: What failed, in one word.
     """
 
     sent: bool
@@ -64,11 +64,11 @@
 
 
 class BrokenReply(Exception):
-    """A response's body ended before its promised end."""
+    """A response is incomplete or belongs to another request."""
 
 
 class OpenReply:
-    """A response whose body is still to be read; ``aclose`` it in any case."""
+    """A response whose body has not been read; ``aclose`` must be called in any case."""
 
     def __init__(self, *, response: httpcore.Response) -> None:
         self._response = response
@@ -87,7 +87,7 @@
         """Read the body.
 
         Raises:
-            BrokenReply: It ended before its promised end.
+            BrokenReply: The body is incomplete.
         """
         try:
             async for chunk in self._response.aiter_stream():
@@ -96,7 +96,7 @@
             raise BrokenReply(type(error).__name__) from error
 
     async def read(self) -> Reply:
-        """Read the whole body and close."""
+        """Read the whole body and close the response."""
         try:
             body = b"".join([chunk async for chunk in self.chunks()])
         finally:
@@ -104,12 +104,12 @@
         return Reply(self.status, self.headers, body)
 
     async def aclose(self) -> None:
-        """Free the connection; it is closed unless the body was read to its end."""
+        """Release the connection, which is closed unless the body was read to its end."""
         await self._response.aclose()
 
 
 class _SendTracker:
-    """Learns from httpcore whether a byte of the request may have left."""
+    """Records, by httpcore's trace, whether a byte of the request may have been sent."""
 
     def __init__(self) -> None:
         self._sent = False
@@ -119,13 +119,13 @@
         return self._sent
 
     async def trace(self, event: str, _info: Any) -> None:
-        # `started` comes before the write: from then on the entry may have the request.
+        # `started` precedes the write: from then on the entry may have the request.
         if event.endswith("send_request_headers.started"):
             self._sent = True
 
 
 class Exchanges:
-    """The caller's connections to all entries."""
+    """Sends requests to entries over pooled connections."""
 
     def __init__(self, *, connect_timeout_s: float, idle_timeout_s: float) -> None:
         self._connect_timeout_s = connect_timeout_s
@@ -146,17 +146,17 @@
         until: float,
         deadline: float | None = None,
     ) -> Reply | Broken:
-        """Send one copy and read the whole answer, without any retry.
+        """Send one copy of a request and read the whole answer, without retries.
 
         Args:
-            entry: Where to.
-            outgoing: What.
-            until: How long its answer is waited for, by ``trio.current_time``.
-            deadline: What the entry is told; ``until`` if None. It is later where the request
-                shall go on after this copy is no longer waited for.
+            entry: The receiving entry.
+            outgoing: The request.
+            until: End of the wait for the answer, by ``trio.current_time``.
+            deadline: Deadline sent to the entry; ``until`` if None. It is later than ``until`` if
+                the request may go on after the wait for this copy has ended.
         """
-        # The deadline is not set around `open`: it would cut through its own, and with it the
-        # knowledge whether a byte has left.
+        # `open` enforces the deadline itself: a cancel scope around it would discard its result,
+        # and with it whether a byte was sent.
         opened = await self.open(entry, outgoing, until=until, deadline=deadline)
         if not isinstance(opened, OpenReply):
             return opened
@@ -175,7 +175,7 @@
         until: float,
         deadline: float | None = None,
     ) -> OpenReply | Reply | Broken:
-        """Send one copy and wait for the response's headers; a refusal is read whole."""
+        """Send one copy and wait for the response's headers; the body of a refusal is read too."""
         sent = _SendTracker()
         with trio.move_on_at(until):
             try:
@@ -230,8 +230,8 @@
 
 
 def _subtract_answer_margin(remaining_s: float) -> float:
-    # A refusal that is decided at the deadline would come when nobody waits for it any more, and
-    # its caller would have to take the request as one that may have run.
+    # A refusal that is decided at the deadline would arrive after the end of the caller's wait, and
+    # the caller would have to assume that the request may have run.
     return remaining_s - min(ANSWER_MARGIN_S, ANSWER_MARGIN_FRACTION * remaining_s)
 
 
@@ -252,8 +252,8 @@
 
 
 def _check_request_id(response: httpcore.Response, expected_id: bytes) -> None:
-    # An answer to another request on our connection (crossed, or late after a timeout) would be
-    # taken for ours: one workspace would read another's certificate.
+    # An answer to another request on this connection (crossed, or late after a timeout) would be
+    # taken for this one's: a workspace could read another's data.
     response_id = find_header(response.headers, headers.REQUEST_ID)
     if response_id is not None and response_id != expected_id:
         raise BrokenReply("crossed-answer")
--- a/src/wagtailpoint/caller/keys.py
+++ b/src/wagtailpoint/caller/keys.py
@@ -1,4 +1,4 @@
-"""What a caller remembers of its keys, so that every copy goes where the first one went."""
+"""Bindings of a caller's idempotency keys, by which all copies of a request go to one entry."""
 
 from collections import OrderedDict
 from collections.abc import Iterator
@@ -13,17 +13,17 @@
 from wagtailpoint.idempotency.binding import parse_binding
 from wagtailpoint.verdict import Verdict
 
-# The copy that got this answer will not run, but the entry cannot speak for earlier copies.
+# Refusals that hold for the refused copy only: the entry does not know of earlier copies.
 _COPY_REFUSAL_CODES = frozenset(
     {RefusalCode.STALE_EPOCH.value, RefusalCode.OTHER_INCARNATION.value}
 )
 
 
 class BoundKey:
-    """Where a key is bound, and how many of its copies may have left.
+    """The binding of one key, and the number of its copies that may have been sent.
 
-    A key that is bound anew while a copy of it may be on its way can run twice. So it is bound
-    anew only when no copy left, or when the bound entry said that none of them will run.
+    A key that is bound to another entry while a copy is in transit can run twice. It is therefore
+    bound anew only if no copy was sent, or if the bound entry answered that none of them will run.
     """
 
     def __init__(self) -> None:
@@ -34,22 +34,22 @@
 
     @property
     def entry(self) -> KnownEntry | None:
-        """The bound entry; None while the key may be bound to any."""
+        """The bound entry; None while the key may be bound to any entry."""
         return self._entry
 
     @property
     def copies(self) -> int:
-        """Copies of this attempt that may have left, whichever task sent them."""
+        """Number of copies of this attempt that may have been sent, by all tasks."""
         return self._copies
 
     @property
     def is_not_run_certain(self) -> bool:
-        """Whether a ``not-run`` may be told: nothing else of this key is on its way, or may be."""
+        """Whether a ``not-run`` is certain: no other copy or call of the key can be in progress."""
         return self._copies == 0 and self._calls == 1
 
     @contextmanager
     def call(self) -> Iterator[None]:
-        """Count a call of the user as long as it may send copies."""
+        """Return a context that counts a call while it may send copies."""
         self._calls += 1
         try:
             yield
@@ -57,27 +57,28 @@
             self._calls -= 1
 
     def bind(self, entry: KnownEntry) -> KnownEntry:
-        """Bind this attempt, unless another task with the same key has just done it."""
+        """Bind this attempt, unless another task has bound the key, and return the bound entry."""
         if self._entry is None:
             self._entry = _with_attempt(entry, self._attempt)
         return self._entry
 
     def note_copy(self) -> None:
-        """Count a copy before it is sent: a cancelled task must leave it counted."""
+        """Count a copy, before it is sent so that it stays counted if the task is cancelled."""
         self._copies += 1
 
     def settle(
         self, entry: KnownEntry, result: Reply | Broken, *, via_other_entry: bool = False
     ) -> Reply | Broken:
-        """Draw the consequences of one copy's result.
+        """Update the binding after the result of one copy.
 
         Args:
-            entry: Where the copy was bound, the very object that ``bind`` returned.
-            result: What came of it.
-            elsewhere: It was sent to another entry, to ask the bound one.
+            entry: The entry to which the copy was bound: the same object that ``bind`` returned.
+            result: The result of the copy.
+            via_other_entry: Whether the copy was sent to another entry, to ask the bound one.
 
         Returns:
-            The result, its verdict corrected by what only the caller knows: how many copies left.
+            The result, with its verdict corrected by the number of copies that may have been sent,
+            which only the caller knows.
         """
         if isinstance(result, Broken):
             if not result.sent:
@@ -85,7 +86,7 @@
             return result
         verdict = read_verdict(result.headers)
         if entry is not self._entry and verdict is not Verdict.RAN:
-            # A late answer to an attempt that is over says nothing of the one that followed.
+            # A late answer to an earlier attempt shows nothing about the current one.
             return with_verdict(result, Verdict.MAY_HAVE_RUN)
         is_only_copy = self._copies == 1
         refusal = refusal_code(result.status, result.body)
@@ -94,20 +95,20 @@
             and refusal != RefusalCode.KEY_REFUSED.value
             and verdict is Verdict.NOT_RUN
         ):
-            # Whatever else it refuses, another entry speaks for the copy that it got; this code
-            # says that it asked the bound entry, which has forbidden the key.
+            # Other refusals of another entry hold for the copy that it got only. KEY_REFUSED means
+            # that it asked the bound entry, which has forbidden the key.
             verdict = Verdict.MAY_HAVE_RUN
         elif is_only_copy and refusal in _COPY_REFUSAL_CODES:
             verdict = Verdict.NOT_RUN
         elif verdict is Verdict.NOT_RUN and not entry.binding and not is_only_copy:
-            # Without a binding a refusal speaks for its own copy only.
+            # Without a binding a refusal holds for the refused copy only.
             verdict = Verdict.MAY_HAVE_RUN
         if verdict is Verdict.NOT_RUN:
             self._start_next_attempt()
         return with_verdict(result, verdict)
 
     def _discard_unsent_copy(self, entry: KnownEntry) -> None:
-        """A copy certainly did not leave."""
+        """Remove a copy that was certainly not sent from the count."""
         if entry is not self._entry:
             return
         self._copies -= 1
@@ -115,21 +116,21 @@
             self._entry = None
 
     def _start_next_attempt(self) -> None:
-        """No copy of this attempt will run: the next one may be bound anywhere."""
+        """Start the next attempt, which may be bound to any entry: no copy of this one will run."""
         self._entry = None
         self._copies = 0
         self._attempt += 1
 
 
 class CallerKeys:
-    """The keys of one caller, the newest of them."""
+    """The most recently used keys of one caller."""
 
     def __init__(self, *, max_keys: int) -> None:
         self._max_keys = max_keys
         self._keys: OrderedDict[str, BoundKey] = OrderedDict()
 
     def get(self, key: str) -> BoundKey:
-        """Return what is known of a key."""
+        """Return the binding of a key."""
         bound = self._keys.get(key)
         if bound is None:
             bound = self._keys[key] = BoundKey()
@@ -144,5 +145,5 @@
         case Ok(binding):
             return entry._replace(binding=str(binding._replace(attempt=attempt)))
         case _:
-            # An entry without a binding has the key claimed in the platform.
+            # An entry without a binding claims the key in the platform's store.
             return entry._replace(binding="")
--- a/tests/cover/test_caller.py
+++ b/tests/cover/test_caller.py
@@ -1,4 +1,4 @@
-"""The caller library against scripted entries over real sockets."""
+"""The caller library with scripted entries, over real sockets."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -16,7 +16,7 @@
 
 
 def answer_with(*script: Say | None) -> Handler:
-    """Answer with the script's lines in turn, then with its last for ever."""
+    """Return a handler that gives the script's answers in turn and then repeats the last."""
     remaining = list(script)
 
     async def handler(_seen: Seen) -> Say | None:
@@ -36,8 +36,8 @@
 OTHER_INCARNATION = refuse("other-incarnation", "may-have-run", status=409)
 
 
-class TwoEntries(unittest.TestCase):
-    """First is asked first; second is in another failure domain."""
+class TwoEntriesTestCase(unittest.TestCase):
+    """Two entries: ``first`` is preferred, ``second`` is in another failure domain."""
 
     def run_with(
         self, first: Handler, second: Handler, scenario: Callable[[Caller], Awaitable[None]]
@@ -61,13 +61,13 @@
         trio.run(main)
 
 
-class CallerTest(TwoEntries):
+class CallerTest(TwoEntriesTestCase):
     async def release(self, caller: Caller, deadline_s: float = 10.0) -> Answer:
         return await caller.request(
             "POST", "/r", body=b"1", idempotency_key="k", deadline_s=deadline_s
         )
 
-    def test_get_goes_on_at_another_failure_domain(self) -> None:
+    def test_get_is_retried_in_another_failure_domain(self) -> None:
         async def scenario(caller: Caller) -> None:
             answer = await caller.request("GET", "/x", deadline_s=10.0)
             self.assertEqual((answer.status, answer.verdict), (200, Verdict.RAN))
@@ -76,14 +76,14 @@
         self.run_with(answer_with(None), answer_with(Say(200)), scenario)
         self.assertEqual(self.first.lookups, 1)
 
-    def test_get_leaves_a_frozen_entry(self) -> None:
+    def test_get_is_retried_after_a_frozen_entry(self) -> None:
         async def scenario(caller: Caller) -> None:
             answer = await caller.request("GET", "/x", deadline_s=2.0)
             self.assertEqual(answer.entry.address, self.second.address)
 
         self.run_with(hang, answer_with(Say(200)), scenario)
 
-    def test_post_without_key_is_never_repeated(self) -> None:
+    def test_post_without_key_is_never_retried(self) -> None:
         async def scenario(caller: Caller) -> None:
             with self.assertRaises(RequestUnanswered) as raised:
                 await caller.request("POST", "/x", body=b"1", deadline_s=10.0)
@@ -92,7 +92,7 @@
         self.run_with(answer_with(None), answer_with(Say(200)), scenario)
         self.assertEqual((len(self.first.seen), len(self.second.seen)), (1, 0))
 
-    def test_key_is_repeated_under_its_first_binding_only(self) -> None:
+    def test_key_is_retried_with_its_first_binding_only(self) -> None:
         async def scenario(caller: Caller) -> None:
             self.assertEqual((await self.release(caller)).status, 201)
 
@@ -101,10 +101,10 @@
         self.assertEqual(bindings(self.second), [b"a" * 16 + b".1"])
 
     def test_outcome_is_learnt_through_another_entry(self) -> None:
-        """A caller is told ``may-have-run`` although its bound entry knows the answer.
+        """Guards against ``may-have-run`` although the bound entry knows the answer.
 
-        Its link to the entry is cut after the request has left. Cause: it asked only there; other
-        entries still reach the bound one, and ask it.
+        The caller's link to the bound entry is cut after the request was sent. Other entries still
+        reach the bound one, so the caller has to ask them too.
         """
 
         async def scenario(caller: Caller) -> None:
@@ -122,11 +122,11 @@
         self.run_with(answer_with(None), answer_with(forbidden, Say(201)), scenario)
         self.assertEqual(bindings(self.second), [b"a" * 16 + b".1", b"b" * 16 + b".1.1"])
 
-    def test_other_refusals_elsewhere_say_nothing_of_the_first_copy(self) -> None:
-        """A release is paid twice: another entry was too busy to ask, and said ``not-run``.
+    def test_refusal_by_another_entry_does_not_apply_to_the_first_copy(self) -> None:
+        """Guards against a release that is paid twice after a refusal by another entry.
 
-        The first copy left for the bound entry, whose link broke. Cause: a refusal that is true of
-        its own copy was taken to be true of all.
+        The first copy was sent to the bound entry, then the link broke. The other entry is too busy
+        to ask the bound one and answers ``not-run``, which holds for its own copy only.
         """
 
         async def scenario(caller: Caller) -> None:
@@ -136,10 +136,10 @@
         self.assertEqual(set(bindings(self.second)), {b"a" * 16 + b".1"})
 
     def test_key_stays_bound_after_the_request_gave_up(self) -> None:
-        """A release is paid twice by a caller that asks again.
+        """Guards against a release that is paid twice by a repeated request.
 
-        Its first request times out at a frozen entry; its user repeats it, with the same key; the
-        lookup's first entry is another one by then. Cause: the second request bound the key anew.
+        The first request times out at a frozen entry and is repeated with the same key. The lookup
+        has another first entry by then, but the key must not be bound to it.
         """
 
         async def scenario(caller: Caller) -> None:
@@ -156,17 +156,17 @@
         self.assertEqual(set(bindings(self.first)), {b"a" * 16 + b".1"})
         self.assertEqual(set(bindings(self.second)), {b"a" * 16 + b".1"})
 
-    def test_refused_key_is_bound_elsewhere_as_a_new_attempt(self) -> None:
+    def test_refused_key_is_bound_to_another_entry_as_a_new_attempt(self) -> None:
         async def scenario(caller: Caller) -> None:
             self.assertEqual((await self.release(caller)).status, 201)
 
         self.run_with(answer_with(refuse("no-slot")), answer_with(Say(201)), scenario)
         self.assertEqual(bindings(self.second), [b"b" * 16 + b".1.1"])
 
-    def test_old_binding_of_the_only_copy_is_renewed(self) -> None:
-        """A first attempt fails for nothing: its cached lookup named a life that is over.
+    def test_outdated_binding_of_the_only_copy_is_renewed(self) -> None:
+        """Guards against a needless failure when a cached lookup names an earlier incarnation.
 
-        The entry cannot say `not-run`, for it does not know how many copies there are. The caller
+        The entry can't answer `not-run`, as it does not know how many copies were sent. The caller
         knows that this was the only one.
         """
 
@@ -177,10 +177,10 @@
         self.assertEqual(len(self.second.seen), 1)
 
     def test_restarted_entry_after_a_lost_copy(self) -> None:
-        """A release is paid twice: an entry runs it, dies before the answer, and is replaced.
+        """Guards against a release that is paid twice after a restart of its entry.
 
-        The replacement says that the binding is not its own. Cause: the caller took that for
-        `not-run` although another copy had left before.
+        The entry runs the release, fails before it answers, and is replaced. The new process
+        refuses the binding, which does not mean `not-run`, as another copy was sent before.
         """
 
         async def scenario(caller: Caller) -> None:
@@ -192,7 +192,7 @@
         )
         self.assertEqual(set(bindings(self.second)), {b"a" * 16 + b".1"})
 
-    def test_nothing_was_sent_to_a_dead_entry(self) -> None:
+    def test_key_is_bound_to_another_entry_if_nothing_was_sent(self) -> None:
         async def scenario(caller: Caller) -> None:
             self.first.listed.insert(0, ScriptedEntry(handler=hang))
             self.assertEqual((await self.release(caller)).status, 201)
@@ -210,8 +210,8 @@
         refusal = refuse("no-slot", retry_after=60)
         self.run_with(answer_with(refusal), answer_with(refusal), scenario)
 
-    def test_quarantined_request_is_not_repeated(self) -> None:
-        """Guards against repeats, elsewhere, of a request that crashes backend servers."""
+    def test_quarantined_request_is_not_retried(self) -> None:
+        """Guards against retries, at other entries, of a request that crashes backend servers."""
 
         async def scenario(caller: Caller) -> None:
             answer = await caller.request("GET", "/x", deadline_s=10.0)
@@ -223,7 +223,7 @@
         self.assertEqual((len(self.first.seen), len(self.second.seen)), (1, 0))
 
     def test_crossed_answer_is_dropped(self) -> None:
-        """A workspace is shown another's certificate: the answer was meant for another request."""
+        """Guards against a workspace that gets another's data from a crossed answer."""
 
         async def scenario(caller: Caller) -> None:
             answer = await caller.request("GET", "/x", deadline_s=10.0)
@@ -232,7 +232,7 @@
         crossed = Say(200, body=b"theirs", headers=[("Wagtailpoint-Request-Id", "other")])
         self.run_with(answer_with(crossed), answer_with(Say(200, body=b"mine")), scenario)
 
-    def test_old_lookup_serves_while_no_entry_answers_lookups(self) -> None:
+    def test_stale_lookup_is_used_while_no_entry_answers_lookups(self) -> None:
         async def scenario(caller: Caller) -> None:
             await caller.request("GET", "/x", deadline_s=10.0)
             self.first.answers_lookups = self.second.answers_lookups = False
@@ -252,13 +252,13 @@
         trio.run(main)
 
 
-class DownloadTest(TwoEntries):
+class DownloadTest(TwoEntriesTestCase):
     async def download(self, caller: Caller) -> bytes:
         async with caller.stream("GET", "/certificates", deadline_s=10.0) as download:
             return b"".join([chunk async for chunk in download.chunks()])
 
     def test_resumed_at_another_entry(self) -> None:
-        """A tribunal's deadline is missed: an entry dies within a long download."""
+        """Guards against a long download that is lost with its entry."""
 
         async def rest(seen: Seen) -> Say | None:
             self.assertEqual(seen.headers[b"if-range"], b'"v1"')
@@ -269,7 +269,7 @@
         async def scenario(caller: Caller) -> None:
             self.assertEqual(await self.download(caller), LARGE_BODY)
 
-        # Both resume: which of them is asked again is the lookup's choice.
+        # Both entries can resume, as the lookup decides which of them is used.
         cut = Say(200, body=LARGE_BODY, headers=[ETAG], cut_after=1000)
         served = [False]
 
@@ -281,7 +281,7 @@
 
         self.run_with(first, rest, scenario)
 
-    def test_short_body_without_validator_never_looks_whole(self) -> None:
+    def test_truncated_body_without_validator_raises(self) -> None:
         async def scenario(caller: Caller) -> None:
             with self.assertRaisesRegex(RequestUnanswered, "no strong ETag"):
                 await self.download(caller)
--- a/tests/cover/test_caller_keys.py
+++ b/tests/cover/test_caller_keys.py
@@ -1,4 +1,4 @@
-"""What a caller concludes for a key that several of its tasks send at the same time."""
+"""Verdicts for a key that several tasks of a caller send concurrently."""
 
 import unittest
 
@@ -9,8 +9,8 @@
 from wagtailpoint.caller.keys import BoundKey
 from wagtailpoint.verdict import Verdict
 
-ONE = KnownEntry(EntryAddress("127.0.0.1", 1), "a", "a" * 16 + ".1")
-TWO = KnownEntry(EntryAddress("127.0.0.1", 2), "b", "b" * 16 + ".1")
+FIRST_ENTRY = KnownEntry(EntryAddress("127.0.0.1", 1), "a", "a" * 16 + ".1")
+SECOND_ENTRY = KnownEntry(EntryAddress("127.0.0.1", 2), "b", "b" * 16 + ".1")
 REFUSED = Reply(503, [(headers.VERDICT, b"not-run")], b"{}")
 
 
@@ -28,37 +28,37 @@
         assert isinstance(settled, Reply)
         return read_verdict(settled.headers)
 
-    def test_second_refusal_of_an_attempt_that_is_over(self) -> None:
-        """A release is paid twice by two tasks with one key.
+    def test_refusal_of_an_earlier_attempt_keeps_the_binding(self) -> None:
+        """Guards against a release that is paid twice by two tasks with one key.
 
-        Both copies are refused; on the first refusal one task binds the key to another entry,
-        where it runs; on the second refusal the other task binds it anew. Cause: the second
-        refusal was taken for one of the attempt that runs.
+        Both copies are refused. After the first refusal one task binds the key to another entry,
+        where it runs. The second refusal belongs to the earlier attempt, so that the other task
+        must not bind the key once more.
         """
-        first, second = self.send(ONE), self.send(ONE)
+        first, second = self.send(FIRST_ENTRY), self.send(FIRST_ENTRY)
         self.assertEqual(self.settle(first, REFUSED), Verdict.NOT_RUN)
-        running = self.send(TWO)
+        running = self.send(SECOND_ENTRY)
         self.assertEqual(self.settle(second, REFUSED), Verdict.MAY_HAVE_RUN)
         self.assertIs(self.bound.entry, running)
 
-    def test_copy_of_an_attempt_that_is_over_never_left(self) -> None:
-        """As above, but the second copy of the attempt that is over finds no connection."""
-        first, second = self.send(ONE), self.send(ONE)
+    def test_unsent_copy_of_an_earlier_attempt_keeps_the_binding(self) -> None:
+        """As above, but the second copy of the earlier attempt gets no connection."""
+        first, second = self.send(FIRST_ENTRY), self.send(FIRST_ENTRY)
         self.settle(first, REFUSED)
-        running = self.send(TWO)
+        running = self.send(SECOND_ENTRY)
         self.bound.settle(second, Broken(False, "ConnectError"))
         self.assertIs(self.bound.entry, running)
 
-    def test_one_of_two_copies_never_left(self) -> None:
-        first = self.send(ONE)
-        self.send(ONE)
+    def test_key_stays_bound_if_one_of_two_copies_was_sent(self) -> None:
+        first = self.send(FIRST_ENTRY)
+        self.send(FIRST_ENTRY)
         self.bound.settle(first, Broken(False, "ConnectError"))
         self.assertIs(self.bound.entry, first)
 
-    def test_not_run_is_not_certain_while_another_call_goes_on(self) -> None:
+    def test_not_run_is_not_certain_during_another_call(self) -> None:
         with self.bound.call():
             self.assertTrue(self.bound.is_not_run_certain)
             with self.bound.call():
                 self.assertFalse(self.bound.is_not_run_certain)
-            self.send(ONE)
+            self.send(FIRST_ENTRY)
             self.assertFalse(self.bound.is_not_run_certain)
