--- a/tests/integration/test_backend_processes.py
+++ b/tests/integration/test_backend_processes.py
@@ -1,4 +1,4 @@
-"""Exchanges with backend servers in processes of their own, which are killed and frozen."""
+"""Exchanges with backend servers in separate processes, which are killed and frozen."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -17,8 +17,8 @@
 LIMIT_S = 60
 
 
-class Rig:
-    """A backend server's process and the entry's side of its connections."""
+class BackendFixture:
+    """A backend server's process and an adapter that sends requests to it."""
 
     def __init__(self, *, process: ModuleProcess, server: BackendAddress) -> None:
         self.process = process
@@ -36,24 +36,24 @@
             idempotent=False,
             echoes_request_id=True,
         )
-        async with self.backends.exchange(self._server, request) as answered:
-            if isinstance(answered, Err):
-                return answered.err_value
-            return b"".join([chunk async for chunk in answered.ok_value.body])
+        async with self.backends.exchange(self._server, request) as outcome:
+            if isinstance(outcome, Err):
+                return outcome.err_value
+            return b"".join([chunk async for chunk in outcome.ok_value.body])
 
-    async def ran(self, request_id: str) -> int:
-        """How often a request ran, by the backend server's own record."""
+    async def execution_count(self, request_id: str) -> int:
+        """Return how often a request ran, by the backend server's record."""
         answer = await self.ask("record", "/standin/record", 10)
         assert isinstance(answer, bytes), answer
         executions: dict[str, int] = msgspec.json.decode(answer)["executions"]
         return executions.get(request_id, 0)
 
     async def wait_until_ran(self, request_id: str) -> None:
-        while await self.ran(request_id) == 0:  # noqa: ASYNC110 - it is in another process
+        while await self.execution_count(request_id) == 0:  # noqa: ASYNC110 - other process
             await trio.sleep(0.02)
 
 
-def run_with_process(test: Callable[[Rig], Awaitable[None]], service_ms: int) -> None:
+def run_with_process(test: Callable[[BackendFixture], Awaitable[None]], service_ms: int) -> None:
     host = loopback_address()
     arguments = ["--address", host, "--port", str(PORT), "--service-ms", str(service_ms)]
     with ModuleProcess(
@@ -62,53 +62,53 @@
 
         async def run() -> None:
             with trio.fail_after(LIMIT_S):
-                await test(Rig(process=process, server=BackendAddress(host, PORT)))
+                await test(BackendFixture(process=process, server=BackendAddress(host, PORT)))
 
         trio.run(run)
 
 
 class BackendProcessTest(unittest.TestCase):
     def test_killed_while_a_release_runs(self) -> None:
-        """A release runs, its backend server is killed, and another starts at its address.
+        """Guards against wrong verdicts when a backend server is killed and replaced.
 
-        The reset does not tell whether the release was paid: `may-have-run`. While nobody listens,
-        the refused connection tells that nothing ran. The connections of the one that died must
-        not spoil the first requests to its successor.
+        The server is killed while a release runs: the reset does not show whether it was paid, so
+        the verdict is `may-have-run`. While no process listens, the refused connection proves that
+        nothing ran. Connections to the killed process must not fail requests to its replacement.
         """
 
-        async def test(rig: Rig) -> None:
+        async def test(fixture: BackendFixture) -> None:
             answers: list[object] = []
 
             async def release() -> None:
-                answers.append(await rig.ask("paid", "/release", 30))
+                answers.append(await fixture.ask("paid", "/release", 30))
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(release)
-                await rig.wait_until_ran("paid")
-                await trio.to_thread.run_sync(rig.process.kill)
+                await fixture.wait_until_ran("paid")
+                await trio.to_thread.run_sync(fixture.process.kill)
             reset = BackendFailure(Verdict.MAY_HAVE_RUN, FailureReason.RESET)
             self.assertEqual(answers, [reset])
             refused = BackendFailure(Verdict.NOT_RUN, FailureReason.CONNECT_REFUSED)
-            self.assertEqual(await rig.ask("next", "/release", 5), refused)
-            rig.process.start()
-            await trio.to_thread.run_sync(rig.process.wait_ready)
-            self.assertEqual(await rig.ran("next"), 0)
+            self.assertEqual(await fixture.ask("next", "/release", 5), refused)
+            fixture.process.start()
+            await trio.to_thread.run_sync(fixture.process.wait_ready)
+            self.assertEqual(await fixture.execution_count("next"), 0)
 
         run_with_process(test, service_ms=10**9)
 
     def test_frozen_before_a_release_arrives(self) -> None:
-        """A release times out at a frozen backend server, and is paid when that wakes.
+        """Guards against a release that is paid twice after a timeout at a frozen backend server.
 
-        The kernel still accepts connections and bytes for a frozen process, so the request waits
-        there. "Not run" at the timeout would have the caller pay it a second time.
+        The kernel accepts connections and bytes for a frozen process, so the request waits there
+        and runs when the process resumes. After a `not-run` the caller would pay it again.
         """
 
-        async def test(rig: Rig) -> None:
-            rig.process.freeze()
+        async def test(fixture: BackendFixture) -> None:
+            fixture.process.freeze()
             timeout = BackendFailure(Verdict.MAY_HAVE_RUN, FailureReason.TIMEOUT)
-            self.assertEqual(await rig.ask("held", "/bulk/1", 0.3), timeout)
-            rig.process.thaw()
-            answer = await rig.ask("after", "/release", 20)
+            self.assertEqual(await fixture.ask("held", "/bulk/1", 0.3), timeout)
+            fixture.process.thaw()
+            answer = await fixture.ask("after", "/release", 20)
             self.assertIsInstance(answer, bytes)
             self.assertIn(b'"after"', answer if isinstance(answer, bytes) else b"")
 
--- a/tests/integration/test_platform_http.py
+++ b/tests/integration/test_platform_http.py
@@ -1,4 +1,4 @@
-"""The HTTP adapter against the stand-in as a real process."""
+"""The HTTP adapter against the platform stand-in in a separate process."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -35,19 +35,19 @@
         async def test(platform: HttpPlatform) -> None:
             name = "a b/ü?&"
             self.assertIsNone((await platform.get(kind="thing", name=name)).unwrap())
-            one = (await platform.put(kind="thing", name=name, value=[1], if_version=0)).unwrap()
-            self.assertEqual((await platform.get(kind="thing", name=name)).unwrap(), one)
+            stored = (await platform.put(kind="thing", name=name, value=[1], if_version=0)).unwrap()
+            self.assertEqual((await platform.get(kind="thing", name=name)).unwrap(), stored)
             again = await platform.put(kind="thing", name=name, value=[2], if_version=ABSENT)
-            self.assertEqual(again.unwrap_err(), Conflict(one))
-            self.assertEqual((await platform.list(kind="thing")).unwrap().objects, [one])
-            gone = await platform.delete(kind="thing", name=name, if_version=one.version)
-            self.assertIsNone(gone.unwrap())
-            gone = await platform.delete(kind="thing", name=name, if_version=one.version)
-            self.assertEqual(gone.unwrap_err(), Conflict(None))
+            self.assertEqual(again.unwrap_err(), Conflict(stored))
+            self.assertEqual((await platform.list(kind="thing")).unwrap().objects, [stored])
+            deleted = await platform.delete(kind="thing", name=name, if_version=stored.version)
+            self.assertIsNone(deleted.unwrap())
+            deleted = await platform.delete(kind="thing", name=name, if_version=stored.version)
+            self.assertEqual(deleted.unwrap_err(), Conflict(None))
 
         self.run_with(test)
 
-    def test_a_watch_waits_for_its_kinds_and_says_when_it_is_too_old(self) -> None:
+    def test_watch_waits_for_its_kinds_and_reports_missing_history(self) -> None:
         async def test(platform: HttpPlatform) -> None:
             async with trio.open_nursery() as nursery:
 
@@ -68,11 +68,11 @@
 
         self.run_with(test)
 
-    def test_a_lost_answer_is_an_unknown_outcome(self) -> None:
-        """Symptom: a change was reported as refused, and was in force.
+    def test_lost_answer_is_an_unknown_outcome(self) -> None:
+        """Guards against a change that is in force but reported as refused.
 
-        Sequence: the platform wrote, then the connection broke before the answer. Cause to guard
-        against: reading a broken connection as "not done".
+        The platform writes, then the connection breaks before the answer. A broken connection does
+        not prove that the write was not done.
         """
 
         async def test(platform: HttpPlatform) -> None:
@@ -97,10 +97,10 @@
         self.run_with(test)
 
     def test_a_frozen_platform_times_out_and_the_write_may_land_later(self) -> None:
-        """Symptom: a write that timed out was repeated and undid another one.
+        """Guards against a timed-out write that is repeated and overwrites another one.
 
-        Sequence: the platform froze, the write waited in its socket, the platform thawed and did
-        it. Cause to guard against: taking a timeout after the first byte for "not done".
+        The platform is frozen, the write waits in its socket and is executed when the platform
+        resumes. A timeout after the first byte does not prove that the write was not done.
         """
 
         async def test(platform: HttpPlatform) -> None:
@@ -109,16 +109,19 @@
             self.assertIsInstance(put.unwrap_err(), OutcomeUnknown)
             self.process.thaw()
             while True:
-                if (await platform.list(kind="thing")).map_or(False, lambda one: one.objects):
+                if (await platform.list(kind="thing")).map_or(
+                    False, lambda listing: listing.objects
+                ):
                     return
                 await trio.sleep(0.01)
 
         self.run_with(test, SHORT_TIMEOUT_S)
 
-    def test_cancelled_watches_give_their_connections_back(self) -> None:
-        """Symptom: after days of switching between watching and polling, every call timed out.
+    def test_cancelled_watches_release_their_connections(self) -> None:
+        """Guards against a connection pool that is filled by cancelled watches.
 
-        Sequence: each cancelled watch left its connection in the pool, until the pool was full.
+        If each cancelled watch leaves its connection in the pool, every call times out after days
+        of switching between watching and polling.
         """
 
         async def test(platform: HttpPlatform) -> None:
@@ -161,7 +164,7 @@
             addresses = [process.listens_on]
             async with HttpPlatform(addresses=addresses, timeout_s=TIMEOUT_S) as platform:
                 outcomes = [await platform.get(kind="thing", name="x") for _ in range(3)]
-                self.assertEqual([one.is_err() for one in outcomes], [False, True, True])
+                self.assertEqual([outcome.is_err() for outcome in outcomes], [False, True, True])
 
         with process:
             trio.run(run)
--- a/tests/integration/test_whole_answers.py
+++ b/tests/integration/test_whole_answers.py
@@ -1,4 +1,4 @@
-"""A caller gets the whole answer to its own request, or sees that it is broken."""
+"""A caller gets the complete answer to its request, or detects that the answer is broken."""
 
 from functools import partial
 
@@ -28,10 +28,10 @@
         self.set_backends()
 
     def test_backend_servers_that_answer_with_crossed_ids(self) -> None:
-        """Symptom: a tenant reads another tenant's balance.
+        """Guards against a tenant who reads another tenant's balance.
 
-        Sequence: a backend server gives a third of its answers the id of another request. Cause:
-        an answer is taken to be the next request's on the connection, whatever it says itself.
+        A backend server sends a third of its answers with the id of another request. An answer must
+        not count as the next request's on the connection regardless of its id.
         """
 
         async def test() -> None:
@@ -43,11 +43,11 @@
 
         self.run_trio(test)
 
-    def test_second_answers_behind_the_first(self) -> None:
-        """Symptom: all later callers of a connection get the answer of the one before.
+    def test_unsolicited_second_answers(self) -> None:
+        """Guards against callers that get the answer to the previous request on a connection.
 
-        Sequence: backend servers send an answer that nobody asked for behind half of theirs.
-        Cause: it waits in the connection for the next request.
+        Backend servers send an unsolicited answer after half of their answers; it would stay in the
+        connection until the next request.
         """
 
         async def test() -> None:
@@ -55,18 +55,18 @@
             place = self.running.entries[0].place
             for number in range(REQUESTS):
                 await self.get(place, f"/deposits/balance/glued-{number}")
-            whole = [heard for heard in self.raw.heard if heard.status == 200]
-            self.assertGreater(len(whole), REQUESTS // 2)
+            complete = [answer for answer in self.raw.heard if answer.status == 200]
+            self.assertGreater(len(complete), REQUESTS // 2)
             glued = sum(record["counts"].get("glued", 0) for record in self.records())
             self.assertGreater(glued, 0)
 
         self.run_trio(test)
 
-    def test_bodies_shorter_than_promised(self) -> None:
-        """Symptom: half a certificate is filed as a whole one.
+    def test_bodies_shorter_than_declared(self) -> None:
+        """Guards against a truncated certificate that looks complete.
 
-        Sequence: backend servers close their connections one byte short of the promised length.
-        Cause: the end of the connection is passed on as the end of the body.
+        Backend servers close their connections one byte before the declared length. The end of the
+        connection must not be forwarded as the end of the body.
         """
 
         async def test() -> None:
@@ -74,15 +74,15 @@
             place = self.running.entries[0].place
             for number in range(10):
                 await self.get(place, f"/deposits/balance/short-{number}")
-            self.assertNotIn(200, {heard.status for heard in self.raw.heard})
+            self.assertNotIn(200, {answer.status for answer in self.raw.heard})
 
         self.run_trio(test)
 
     def test_answers_crossed_between_entry_and_callers(self) -> None:
-        """Symptom: two callers get each other's answers.
+        """Guards against two callers that get each other's answers.
 
-        Sequence: something between callers and entry swaps the answers of two connections. Cause:
-        a caller believes whatever arrives on its connection.
+        An intermediary between callers and entry swaps the answers of two connections. A caller
+        must not accept every answer that arrives on its connection.
         """
 
         async def test() -> None:
@@ -126,11 +126,11 @@
         async with caller.stream("GET", path, deadline_s=10.0) as download:
             return b"".join([chunk async for chunk in download.chunks()])
 
-    def test_backend_servers_that_die_in_the_middle(self) -> None:
-        """Symptom: a bulk certificate download has to begin again, or is short by a page.
+    def test_backend_servers_that_fail_in_the_middle(self) -> None:
+        """Guards against a bulk download that is truncated or has to start again.
 
-        Sequence: half of the downloads lose their backend server half-way; those that go on lose
-        the next one, too. Cause: the rest is asked for by range, under the validator of the first.
+        Half of the downloads lose their backend server half-way, and resumed ones may lose the next
+        one too. The rest is requested by range, with the validator of the first response.
         """
 
         async def test() -> None:
@@ -139,16 +139,16 @@
                 for _ in range(6):
                     body = await self.download(caller, f"/certificates/bulk/{BULK_BYTES}")
                     self.assertTrue(body == bulk_bytes(0, BULK_BYTES), len(body))
-            died = sum(record["counts"].get("broken_body", 0) for record in self.records())
-            self.assertGreater(died, 0)
+            broken_bodies = sum(record["counts"].get("broken_body", 0) for record in self.records())
+            self.assertGreater(broken_bodies, 0)
 
         self.run_trio(test)
 
-    def test_without_a_validator_the_download_ends_broken(self) -> None:
-        """Symptom: a download is put together from two different files.
+    def test_download_without_a_validator_is_not_resumed(self) -> None:
+        """Guards against a download that is assembled from two different files.
 
-        Sequence: the backend server dies half-way and its answer had no validator. Cause: nothing
-        tells whether the rest would be of the same file, so it must not be asked for.
+        The backend server fails half-way and its answer had no validator. It is unknown whether the
+        rest would be of the same file, so it must not be requested.
         """
 
         async def test() -> None:
@@ -163,10 +163,9 @@
         self.run_trio(test)
 
     def test_entry_killed_in_the_middle(self) -> None:
-        """Symptom: an agent's download is lost with the entry that it went through.
+        """Guards against a download that is lost with its entry.
 
-        Sequence: the entry is killed while slow downloads run; they go on through the others.
-        Cause: a download outlives the process that it began with.
+        The entry is killed during a slow download, which has to continue through another entry.
         """
 
         async def test() -> None:
