--- a/src/wagtailpoint/config/blocks.py
+++ b/src/wagtailpoint/config/blocks.py
@@ -1,7 +1,7 @@
-"""The client blocks of a configuration, of which there may be hundreds of thousands.
+"""The client blocks of a configuration, which may number hundreds of thousands.
 
-They change rarely and are most of the configuration. So a reader remembers the objects that it
-read before, and keeps the networks packed.
+They make up most of the configuration and change rarely, so ``BlockReader`` reuses the objects that
+it has already checked and keeps their networks packed.
 """
 
 import socket
@@ -17,18 +17,18 @@
 from wagtailpoint.config.packed import PackedTexts, unpack
 from wagtailpoint.errors import Mistake
 
-_MOST_LENGTH_DIGITS = 3
+_MAX_PREFIX_LENGTH_DIGITS = 3
 
 
 class RegionBlocks(NamedTuple):
-    """One ``blocks`` object."""
+    """The region and the networks of one ``blocks`` object."""
 
     region: str
     networks: Sequence[str]
 
 
 class BlockList(Sequence[ClientBlock]):
-    """All client blocks in order; a ``ClientBlock`` is made only while it is looked at."""
+    """All client blocks in order; each ``ClientBlock`` is created when it is accessed."""
 
     def __init__(self, *, parts: Sequence[RegionBlocks]) -> None:
         self._parts = tuple(parts)
@@ -44,13 +44,13 @@
 
     @property
     def parts(self) -> Sequence[RegionBlocks]:
-        """The objects that the blocks stand in."""
+        """The ``blocks`` objects that make up the list."""
         return self._parts
 
-    def without(self, other: "BlockList") -> "BlockList":
-        """Return the parts that are not, as the very same objects, parts of another list."""
-        theirs = {id(part) for part in other._parts}
-        return BlockList(parts=[part for part in self._parts if id(part) not in theirs])
+    def difference(self, other: "BlockList") -> "BlockList":
+        """Return the parts that the other list lacks; parts are compared by identity."""
+        other_parts = {id(part) for part in other._parts}
+        return BlockList(parts=[part for part in self._parts if id(part) not in other_parts])
 
     def __eq__(self, other: object) -> bool:
         if self is other:
@@ -67,19 +67,20 @@
 
     def __getitem__(self, index: int | slice) -> ClientBlock | Sequence[ClientBlock]:
         if isinstance(index, slice):
-            return [self[place] for place in range(*index.indices(len(self)))]
-        place = index + len(self) if index < 0 else index
+            return [self[position] for position in range(*index.indices(len(self)))]
+        position = index + len(self) if index < 0 else index
         for part, end in zip(self._parts, self._ends, strict=True):
-            if 0 <= place < end:
-                return ClientBlock(part.networks[place - end], part.region)
+            if 0 <= position < end:
+                return ClientBlock(part.networks[position - end], part.region)
         raise IndexError(f"block {index} of {len(self)}")
 
 
 class BlockReader:
-    """Reads all ``blocks`` objects, and checks only those that are new.
+    """Reads all ``blocks`` objects and checks only those that changed since the last read.
 
-    An object whose JSON value is the very same as the last time is not read again: values are
-    never changed in place, and the store hands out the same one while its content is the same.
+    An object is skipped if its JSON value is identical (``is``) to the last one. This is safe
+    because values are never modified in place, and the store returns the same value while the
+    content is unchanged.
     """
 
     def __init__(self) -> None:
@@ -90,62 +91,66 @@
 
     @property
     def parts(self) -> Mapping[str, RegionBlocks]:
-        """The objects read last, by name."""
+        """The objects of the last read, by name."""
         return self._parts
 
     def read(self, values: Mapping[str, Any], mistakes: list[Mistake]) -> BlockList:
         """Read the JSON values of all objects, by name.
 
         Returns:
-            The blocks: the very same list as the last time if nothing changed. Of use only if no
-            mistake was recorded.
+            The blocks; the identical list as in the last read if nothing changed. Valid only if
+            no mistake was recorded.
         """
-        if self._is_same(values):
+        if self._is_unchanged(values):
             return self._blocks
-        found: list[Mistake] = []
-        parts = {name: self._read_one(name, value, found) for name, value in values.items()}
-        self._hashes = {name: self._hashes_of(name, part) for name, part in parts.items()}
+        found_mistakes: list[Mistake] = []
+        parts = {
+            name: self._read_object(name, value, found_mistakes) for name, value in values.items()
+        }
+        self._hashes = {name: self._hash_networks(name, part) for name, part in parts.items()}
         if not _are_distinct(self._hashes.values()):
-            _check_duplicates(parts, found)
+            _check_duplicates(parts, found_mistakes)
         self._parts = parts
-        if found:
-            mistakes += found
+        if found_mistakes:
+            mistakes += found_mistakes
             self._values = {}
         else:
             self._values = dict(values)
             self._blocks = BlockList(parts=tuple(parts.values()))
         return self._blocks
 
-    def _is_same(self, values: Mapping[str, Any]) -> bool:
+    def _is_unchanged(self, values: Mapping[str, Any]) -> bool:
         return self._values.keys() == values.keys() and all(
             self._values[name] is value for name, value in values.items()
         )
 
-    def _read_one(self, name: str, value: Any, mistakes: list[Mistake]) -> RegionBlocks:
+    def _read_object(self, name: str, value: Any, mistakes: list[Mistake]) -> RegionBlocks:
         if name in self._values and self._values[name] is value:
             return self._parts[name]
-        reader = ObjectReader(value=unpack(value), path=_path(name), mistakes=mistakes)
+        reader = ObjectReader(value=unpack(value), path=_object_path(name), mistakes=mistakes)
         region = reader.text("region")
         networks = reader.texts("networks", expected="networks")
         for index, network in enumerate(networks):
             if not is_network(network):
-                expected = 'a network ADDRESS/LENGTH such as "10.1.0.0/16", no bits set after it'
+                expected = (
+                    'a network ADDRESS/LENGTH such as "10.1.0.0/16", no bits set after LENGTH'
+                )
                 reader.mistake(f"networks[{index}]", network, expected)
         reader.finish()
         packed = value.get("networks") if isinstance(value, dict) else None
         raw = packed if isinstance(packed, msgspec.Raw) else None
         return RegionBlocks(region, PackedTexts(networks, raw=raw))
 
-    def _hashes_of(self, name: str, part: RegionBlocks) -> "array[int]":
+    def _hash_networks(self, name: str, part: RegionBlocks) -> "array[int]":
         if self._parts.get(name) is part:
             return self._hashes[name]
         return array("q", map(hash, part.networks))
 
 
 def is_network(text: str) -> bool:
-    """Whether a string is ``ADDRESS/LENGTH`` without bits beyond the length."""
+    """Return whether a string is ``ADDRESS/LENGTH`` with no bits set beyond the length."""
     address, _, length = text.partition("/")
-    if not (length.isascii() and length.isdecimal()) or len(length) > _MOST_LENGTH_DIGITS:
+    if not (length.isascii() and length.isdecimal()) or len(length) > _MAX_PREFIX_LENGTH_DIGITS:
         return False
     try:
         packed = socket.inet_pton(socket.AF_INET6 if ":" in address else socket.AF_INET, address)
@@ -155,36 +160,38 @@
     return host_bits >= 0 and int.from_bytes(packed, "big") & ((1 << host_bits) - 1) == 0
 
 
-def _path(name: str) -> str:
+def _object_path(name: str) -> str:
     return f"blocks/{name}: "
 
 
 def _are_distinct(hashes: Iterable["array[int]"]) -> bool:
-    """Whether no two strings can be the same; without a set of all of them, which takes 50 MB."""
-    in_order = sorted(chain.from_iterable(hashes))
-    return not any(one == other for one, other in pairwise(in_order))
+    """Return whether all hashes differ; sorting avoids a set of all strings, which takes 50 MB."""
+    sorted_hashes = sorted(chain.from_iterable(hashes))
+    return not any(previous == following for previous, following in pairwise(sorted_hashes))
 
 
 def _check_duplicates(parts: Mapping[str, RegionBlocks], mistakes: list[Mistake]) -> None:
     seen: set[str] = set()
     for name, part in parts.items():
-        before = len(seen)
+        count_before = len(seen)
         seen.update(part.networks)
-        if len(seen) == before + len(part.networks):
+        if len(seen) == count_before + len(part.networks):
             continue
-        for network in _repeated(name, part, parts):
-            expected = "a network of its own; it stands once before"
-            mistakes.append(Mistake(f"{_path(name)}networks", show(network), expected))
+        for network in _find_duplicates(name, part, parts):
+            expected = "a network of its own; it is already listed in a blocks object"
+            mistakes.append(Mistake(f"{_object_path(name)}networks", show(network), expected))
 
 
-def _repeated(name: str, part: RegionBlocks, parts: Mapping[str, RegionBlocks]) -> Iterator[str]:
-    """The networks of one object that stand before, in it or in an earlier one."""
-    earlier: set[str] = set()
+def _find_duplicates(
+    name: str, part: RegionBlocks, parts: Mapping[str, RegionBlocks]
+) -> Iterator[str]:
+    """Yield the networks of an object that occur earlier, in it or in a preceding object."""
+    earlier_networks: set[str] = set()
     for other, other_part in parts.items():
         if other == name:
             break
-        earlier.update(other_part.networks)
+        earlier_networks.update(other_part.networks)
     for network in part.networks:
-        if network in earlier:
+        if network in earlier_networks:
             yield network
-        earlier.add(network)
+        earlier_networks.add(network)
--- a/src/wagtailpoint/config/store.py
+++ b/src/wagtailpoint/config/store.py
@@ -1,10 +1,10 @@
-"""The configuration in the platform: every accepted change has one place in one order.
+"""Stores the configuration in the platform, with all changes in one total order.
 
-The platform updates only one object at a time. A change of several objects is made atomic by
-writing everything immutable first (contents and a manifest, both named by their hash, so that
-writing them twice is harmless) and then updating one object, ``config-head/current``, under the
-condition that nobody did so in between. What was written before a change that is not accepted is
-never read by anyone. See ``docs/design/configuration.md``.
+The platform updates only one object at a time. To make a change of several objects atomic, the
+store first writes the immutable objects (contents and a manifest, both named by their hash, so
+that writing them twice is harmless) and then updates one object, ``config-head/current``, on the
+condition that it has not been updated in between. Immutable objects of a change that is not
+committed are never read. See ``docs/design/configuration.md``.
 """
 
 import secrets
@@ -23,27 +23,27 @@
     Head,
     Manifest,
     Snapshot,
+    change_info,
     changed_keys,
     check_manifest,
     check_objects,
-    hash_of,
-    info_of,
+    compute_hash,
 )
-from wagtailpoint.config.reader import ConfigReader, Current, contents_of, converted
+from wagtailpoint.config.reader import ConfigReader, CurrentHead, contents_by_hash, convert_value
 from wagtailpoint.errors import InvalidInput, Mistake, OutcomeUnknown, PlatformUnavailable
 from wagtailpoint.ports.platform import ABSENT, Conflict, Platform, StoredObject
 
-_MOST_REBASES = 50
+_MAX_REBASES = 50
 _CHANGE_ID_BYTES = 16
-_SETTLE_PAUSE_S = 0.1
+_RETRY_DELAY_S = 0.1
 
 
 class ApplyConflict(NamedTuple):
-    """A change that was refused because somebody else changed the same objects.
+    """A change that was refused because another change concerns the same objects.
 
     Attributes:
         other: The newest such change.
-        objects: The objects that both changed, as ``kind/name``.
+        objects: The objects that both changes concern, as ``kind/name``.
     """
 
     other: ChangeInfo
@@ -53,12 +53,14 @@
 ApplyError = ApplyConflict | OutcomeUnknown | PlatformUnavailable
 
 
-class _Change(NamedTuple):
-    """What an operator asked for, whichever version it will land on.
+class _RequestedChange(NamedTuple):
+    """A change as requested by an operator, independent of the version it is applied to.
 
     Attributes:
-        puts: The hash of each object's new content.
-        deletes: The objects to delete; None: all that are not put.
+        info: The author, time and message of the change; its version is not set.
+        base_version: The version that the operator based the change on.
+        puts: The hash of each object's new content, by ``kind/name``.
+        deletes: The objects to delete; None deletes all objects that are not in ``puts``.
     """
 
     info: ChangeInfo
@@ -66,14 +68,14 @@
     puts: Mapping[str, str]
     deletes: frozenset[str] | None
 
-    def touches(self, changed: frozenset[str]) -> frozenset[str]:
-        """Which of the objects that somebody else changed this change is about."""
+    def overlapping_keys(self, changed: frozenset[str]) -> frozenset[str]:
+        """Return those of the objects changed by others that this change concerns too."""
         if self.deletes is None:
             return changed
         return changed & (self.deletes | self.puts.keys())
 
-    def on(self, current: Current) -> Manifest:
-        """The manifest of this change as the one after ``current``."""
+    def build_manifest(self, current: CurrentHead) -> Manifest:
+        """Return the manifest that applies this change on top of ``current``."""
         kept = {
             key: content
             for key, content in current.objects.items()
@@ -94,12 +96,12 @@
     """Reads and changes the configuration.
 
     Args:
-        platform: The platform.
-        clock_wall: Seconds since the epoch, for the time that people see beside a change.
-        settle_s: How long a write with a lost answer is looked for, in seconds.
-        check: Called with what is about to be accepted, merged with what others changed meanwhile;
+        platform: The platform that stores the configuration.
+        clock_wall: Returns seconds since the epoch; recorded with each change for display.
+        settle_s: How long to resolve the outcome of a write whose answer was lost, in seconds.
+        check: Called with the snapshot about to be committed, which includes concurrent changes;
             raises ``InvalidInput`` to refuse it.
-        keep: What is kept of each value that is read, see ``packed.pack``.
+        keep: Maps each value that is read to the form kept in memory, see ``packed.pack``.
     """
 
     def __init__(
@@ -116,7 +118,7 @@
         self._clock_wall = clock_wall
         self._settle_s = settle_s
         self._check = check
-        # Of the newest snapshot, so that a change made on it fetches nothing again.
+        # Contents of the newest snapshot by hash; a change based on it need not fetch them again.
         self._contents: dict[str, Any] = {}
 
     async def read(self) -> Result[Snapshot | None, PlatformUnavailable]:
@@ -129,31 +131,31 @@
         """Read the newest configuration, fetching only what differs from ``known``.
 
         Returns:
-            The newest snapshot, or ``known`` itself if the platform has none that is newer: a
-            lagging read never leads back.
+            The newest snapshot, or ``known`` itself if the platform returns none that is newer, so
+            that a stale read never reverts to an older version.
         """
         head = await self._platform.get(kind=HEAD_KIND, name=HEAD_NAME)
         if isinstance(head, Err):
             return head
-        return await self.follow(head.ok_value, known)
+        return await self.read_at_head(head.ok_value, known)
 
-    async def follow(
+    async def read_at_head(
         self, head: StoredObject | None, known: Snapshot | None
     ) -> Result[Snapshot | None, PlatformUnavailable]:
-        """Like ``read_since`` for a head that was already read, for example by a watch."""
+        """Do the same as ``read_since`` for an already read head, for example from a watch."""
         if head is None:
             return Ok(known)
-        value = converted(head.value, Head)
+        value = convert_value(head.value, Head)
         if isinstance(value, Err):
             return value
         if known is not None and value.ok_value["version"] <= known.change.version:
             return Ok(known)
-        manifest = await self._reader.manifest(value.ok_value["manifest"])
+        manifest = await self._reader.read_manifest(value.ok_value["manifest"])
         if isinstance(manifest, Err):
             return manifest
-        known_contents = {**self._contents, **contents_of(known)}
-        snapshot = await self._reader.snapshot(manifest.ok_value, known_contents)
-        self._contents = contents_of(snapshot.unwrap_or(None)) or self._contents
+        known_contents = {**self._contents, **contents_by_hash(known)}
+        snapshot = await self._reader.read_snapshot(manifest.ok_value, known_contents)
+        self._contents = contents_by_hash(snapshot.unwrap_or(None)) or self._contents
         return snapshot
 
     async def apply(
@@ -165,19 +167,19 @@
         author: str,
         message: str,
     ) -> Result[Snapshot, ApplyError]:
-        """Put and delete objects in one step, made against ``base_version`` (0: there is none).
+        """Put and delete objects atomically, based on ``base_version`` (0: no configuration yet).
 
-        Changes of other objects since then are kept; a change of the same ones is a conflict.
-        ``OutcomeUnknown`` names the change id, by which ``history`` tells later whether it landed.
+        Later changes of other objects are kept; a later change of the same objects is a conflict.
+        ``OutcomeUnknown`` names the change id; ``history`` shows later whether it was committed.
 
         Raises:
-            InvalidInput: A key or a value that can't be stored, or ``check`` refused the result.
+            InvalidInput: A key or a value can't be stored, or ``check`` refused the result.
         """
         check_objects(puts, frozenset(deletes))
-        change = _Change(
-            info=self._new_info(author, message),
+        change = _RequestedChange(
+            info=self._create_info(author, message),
             base_version=base_version,
-            puts={key: hash_of(value) for key, value in puts.items()},
+            puts={key: compute_hash(value) for key, value in puts.items()},
             deletes=frozenset(deletes),
         )
         return await self._commit(change, {change.puts[key]: puts[key] for key in puts})
@@ -185,111 +187,122 @@
     async def revert(
         self, *, to_version: int, author: str, message: str, base_version: int
     ) -> Result[Snapshot, ApplyError]:
-        """Write the content of an older version as a newer one, in one step.
+        """Commit the content of an older version as a new version, atomically.
 
-        It concerns the whole configuration, so any change since ``base_version`` is a conflict.
+        A revert replaces the whole configuration, so any change since ``base_version`` is a
+        conflict.
 
         Raises:
-            InvalidInput: There is no such version, or ``check`` refused the result.
+            InvalidInput: The version doesn't exist, or ``check`` refused the result.
         """
-        target = await self._manifest_at(to_version)
+        target = await self._read_manifest_at(to_version)
         if isinstance(target, Err):
             return target
-        change = _Change(
-            info=self._new_info(author, message),
+        change = _RequestedChange(
+            info=self._create_info(author, message),
             base_version=base_version,
             puts=target.ok_value["objects"],
             deletes=None,
         )
         return await self._commit(change, {})
 
-    async def history(self, *, most: int) -> Result[list[ChangeInfo], PlatformUnavailable]:
-        """The newest changes, the newest first; one call of the platform for each."""
-        current = await self._reader.current()
+    async def history(self, *, max_changes: int) -> Result[list[ChangeInfo], PlatformUnavailable]:
+        """Return the newest changes, newest first; makes one platform call per change."""
+        current = await self._reader.read_current()
         if isinstance(current, Err):
             return current
-        manifests = await self._reader.newer_than(current.ok_value, current.ok_value.version - most)
-        return manifests.map(lambda found: [info_of(manifest) for manifest in found])
+        manifests = await self._reader.read_manifests_after(
+            current.ok_value, current.ok_value.version - max_changes
+        )
+        return manifests.map(lambda found: [change_info(manifest) for manifest in found])
 
-    async def at(self, version: int) -> Result[Snapshot, PlatformUnavailable]:
-        """Read the configuration as of one version.
+    async def read_version(self, version: int) -> Result[Snapshot, PlatformUnavailable]:
+        """Read the configuration as of a version.
 
         Raises:
-            InvalidInput: There is no such version.
+            InvalidInput: The version doesn't exist.
         """
-        manifest = await self._manifest_at(version)
+        manifest = await self._read_manifest_at(version)
         if isinstance(manifest, Err):
             return manifest
-        return await self._reader.snapshot(manifest.ok_value, self._contents)
+        return await self._reader.read_snapshot(manifest.ok_value, self._contents)
 
-    def _new_info(self, author: str, message: str) -> ChangeInfo:
+    def _create_info(self, author: str, message: str) -> ChangeInfo:
         change_id = secrets.token_hex(_CHANGE_ID_BYTES)
         return ChangeInfo(0, change_id, author, self._clock_wall(), message)
 
-    async def _manifest_at(self, version: int) -> Result[Manifest, PlatformUnavailable]:
-        current = await self._reader.current()
+    async def _read_manifest_at(self, version: int) -> Result[Manifest, PlatformUnavailable]:
+        current = await self._reader.read_current()
         if isinstance(current, Err):
             return current
         newest = current.ok_value.version
         if not 1 <= version <= newest:
-            raise InvalidInput([Mistake("version", str(version), f"one from 1 to {newest}")])
-        manifests = await self._reader.newer_than(current.ok_value, version - 1)
+            raise InvalidInput(
+                [Mistake("version", str(version), f"a version, one from 1 to {newest}")]
+            )
+        manifests = await self._reader.read_manifests_after(current.ok_value, version - 1)
         return manifests.map(lambda found: found[-1])
 
     async def _commit(
-        self, change: _Change, contents: dict[str, Any]
+        self, change: _RequestedChange, contents: dict[str, Any]
     ) -> Result[Snapshot, ApplyError]:
-        """Make the change the next one, on top of whatever others changed meanwhile."""
-        current = await self._reader.current()
-        for _ in range(_MOST_REBASES):
+        """Commit a change on top of the newest version; rebase it if other changes come first."""
+        current = await self._reader.read_current()
+        for _ in range(_MAX_REBASES):
             if isinstance(current, Err):
                 return current
-            conflict = await self._conflict(change, current.ok_value)
+            conflict = await self._find_conflict(change, current.ok_value)
             if isinstance(conflict, Err):
                 return conflict
-            outcome = await self._attempt(change, current.ok_value, contents)
+            outcome = await self._try_commit(change, current.ok_value, contents)
             if not isinstance(outcome, Err):
-                self._contents = contents_of(outcome.ok_value)
+                self._contents = contents_by_hash(outcome.ok_value)
                 return outcome
             if not isinstance(outcome.err_value, Conflict):
                 return Err(outcome.err_value)
-            current = await self._reader.current_at(outcome.err_value.current)
-        return Err(PlatformUnavailable("others kept changing the configuration; apply again"))
+            current = await self._reader.read_at_head(outcome.err_value.current)
+        return Err(
+            PlatformUnavailable(
+                f"the head had changed in each of {_MAX_REBASES} attempts; apply again"
+            )
+        )
 
-    async def _conflict(
-        self, change: _Change, current: Current
+    async def _find_conflict(
+        self, change: _RequestedChange, current: CurrentHead
     ) -> Result[None, ApplyConflict | PlatformUnavailable]:
         if current.version == change.base_version:
             return Ok(None)
         if current.version < change.base_version:
-            problem = f"the platform is at version {current.version}, before"
+            problem = f"the platform returned version {current.version}, older than"
             return Err(PlatformUnavailable(f"{problem} base version {change.base_version}"))
-        walked = await self._reader.newer_than(current, change.base_version - 1)
-        if isinstance(walked, Err):
-            return walked
-        older_objects: list[Mapping[str, str]] = [one["objects"] for one in walked.ok_value[1:]]
+        newer_manifests = await self._reader.read_manifests_after(current, change.base_version - 1)
+        if isinstance(newer_manifests, Err):
+            return newer_manifests
+        older_objects: list[Mapping[str, str]] = [
+            older_manifest["objects"] for older_manifest in newer_manifests.ok_value[1:]
+        ]
         if change.base_version == 0:
             older_objects.append({})
-        for manifest, older in zip(walked.ok_value, older_objects, strict=False):
-            both = change.touches(changed_keys(older, manifest["objects"]))
-            if both:
-                return Err(ApplyConflict(info_of(manifest), sorted(both)))
+        for manifest, older in zip(newer_manifests.ok_value, older_objects, strict=False):
+            conflicting_keys = change.overlapping_keys(changed_keys(older, manifest["objects"]))
+            if conflicting_keys:
+                return Err(ApplyConflict(change_info(manifest), sorted(conflicting_keys)))
         return Ok(None)
 
-    async def _attempt(
-        self, change: _Change, current: Current, contents: dict[str, Any]
+    async def _try_commit(
+        self, change: _RequestedChange, current: CurrentHead, contents: dict[str, Any]
     ) -> Result[Snapshot, Conflict | OutcomeUnknown | PlatformUnavailable]:
-        manifest = change.on(current)
+        manifest = change.build_manifest(current)
         check_manifest(manifest)
-        # Everything that may fail is done before the head is updated: a change that was accepted
-        # must not be reported as a failure because some other object could not be read.
-        snapshot = await self._reader.snapshot(manifest, {**self._contents, **contents})
+        # Read all contents before the head is updated: otherwise a failed read could report an
+        # already committed change as failed.
+        snapshot = await self._reader.read_snapshot(manifest, {**self._contents, **contents})
         if isinstance(snapshot, Err):
             return snapshot
         self._check(snapshot.ok_value)
         known = set(current.objects.values())
         writes = [(CONTENT_KIND, name, contents[name]) for name in contents if name not in known]
-        manifest_name = hash_of(manifest)
+        manifest_name = compute_hash(manifest)
         for kind, name, value in [*writes, (MANIFEST_KIND, manifest_name, manifest)]:
             written = await self._put_immutable(kind, name, value)
             if isinstance(written, Err):
@@ -297,55 +310,62 @@
         head = Head(
             version=manifest["version"], manifest=manifest_name, change_id=manifest["change_id"]
         )
-        return (await self._accept(head, current)).map(lambda _: snapshot.ok_value)
+        return (await self._update_head(head, current)).map(lambda _: snapshot.ok_value)
 
     async def _put_immutable(
         self, kind: str, name: str, value: Any
     ) -> Result[None, PlatformUnavailable]:
-        """Create an object named by its content; writing it again after a lost answer is safe."""
-        give_up_s = trio.current_time() + self._settle_s
+        """Create an object named by its hash; repeating the write after a lost answer is safe."""
+        give_up_at_s = trio.current_time() + self._settle_s
         while True:
             outcome = await self._platform.put(kind=kind, name=name, value=value, if_version=ABSENT)
             if isinstance(outcome, Ok) or isinstance(outcome.err_value, Conflict):
                 return Ok(None)
             if isinstance(outcome.err_value, PlatformUnavailable):
                 return Err(outcome.err_value)
-            if trio.current_time() > give_up_s:
-                return Err(PlatformUnavailable(f"no answer for {kind}/{name}; nothing accepted"))
-            await trio.sleep(_SETTLE_PAUSE_S)
-
-    async def _accept(
-        self, head: Head, current: Current
+            if trio.current_time() > give_up_at_s:
+                return Err(
+                    PlatformUnavailable(
+                        f"{kind}/{name} not confirmed in {self._settle_s:g} s; nothing committed"
+                    )
+                )
+            await trio.sleep(_RETRY_DELAY_S)
+
+    async def _update_head(
+        self, head: Head, current: CurrentHead
     ) -> Result[None, Conflict | OutcomeUnknown | PlatformUnavailable]:
-        """Update the head, and settle a lost answer by reading back.
+        """Update the head; resolve a lost answer by reading the head back.
 
-        While the head is still where it was, the lost write may yet arrive. It is then sent again
-        under the same condition: of the two at most one takes effect, and both say the same. Once
-        the head has moved neither can land any more, and the manifests tell whether one did.
+        While the head is unchanged, the lost write may still take effect. The same write is then
+        retried under the same condition, so that at most one of the two takes effect. Once the head
+        has changed, neither can take effect, and the manifests show whether one did.
         """
-        give_up_s = trio.current_time() + self._settle_s
-        sent = False
+        give_up_at_s = trio.current_time() + self._settle_s
+        may_have_been_sent = False
         while True:
             outcome = await self._platform.put(
                 kind=HEAD_KIND, name=HEAD_NAME, value=head, if_version=current.head_version
             )
             if isinstance(outcome, Ok):
                 return Ok(None)
-            if isinstance(outcome.err_value, PlatformUnavailable) and not sent:
+            if isinstance(outcome.err_value, PlatformUnavailable) and not may_have_been_sent:
                 return Err(outcome.err_value)
-            sent = True
-            settled = await self._settle(head, current, outcome.err_value)
-            if settled is not None:
-                return settled
-            if trio.current_time() > give_up_s:
-                problem = "apply's answer was lost and the platform can't be read"
+            may_have_been_sent = True
+            resolved = await self._resolve_outcome(head, current, outcome.err_value)
+            if resolved is not None:
+                return resolved
+            if trio.current_time() > give_up_at_s:
+                problem = "the answer to the update was lost and the platform can't be read"
                 return Err(OutcomeUnknown(f"{problem}; look for change {head['change_id']}"))
-            await trio.sleep(_SETTLE_PAUSE_S)
+            await trio.sleep(_RETRY_DELAY_S)
 
-    async def _settle(
-        self, head: Head, current: Current, error: Conflict | OutcomeUnknown | PlatformUnavailable
+    async def _resolve_outcome(
+        self,
+        head: Head,
+        current: CurrentHead,
+        error: Conflict | OutcomeUnknown | PlatformUnavailable,
     ) -> Result[None, Conflict] | None:
-        """Whether the head's update took effect, or for certain did not; None: not known yet."""
+        """Return Ok if the head's update took effect, Conflict if it can't, None if unknown."""
         if isinstance(error, Conflict):
             read: Result[StoredObject | None, PlatformUnavailable] = Ok(error.current)
         else:
@@ -355,12 +375,12 @@
         found_version = read.ok_value.version if read.ok_value else ABSENT
         if found_version <= current.head_version and not isinstance(error, Conflict):
             return None
-        found = await self._reader.current_at(read.ok_value)
+        found = await self._reader.read_at_head(read.ok_value)
         if isinstance(found, Err):
             return None
-        walked = await self._reader.newer_than(found.ok_value, current.version)
-        if isinstance(walked, Err):
+        newer_manifests = await self._reader.read_manifests_after(found.ok_value, current.version)
+        if isinstance(newer_manifests, Err):
             return None
-        if any(one["change_id"] == head["change_id"] for one in walked.ok_value):
+        if any(manifest["change_id"] == head["change_id"] for manifest in newer_manifests.ok_value):
             return Ok(None)
         return Err(Conflict(read.ok_value))
--- a/src/wagtailpoint/daemon/steering.py
+++ b/src/wagtailpoint/daemon/steering.py
@@ -315,7 +315,7 @@
 
     def _retry_bound(self) -> RetryBound:
         bounds = self._settings_file.bounds
-        return RetryBound(bounds.repeat_ratio, bounds.repeat_slack)
+        return RetryBound(bounds.retry_ratio, bounds.retry_slack)
 
     def _bounds(self) -> CallerBounds:
         table = self._state.table
--- a/src/wagtailpoint/entry/service.py
+++ b/src/wagtailpoint/entry/service.py
@@ -1,4 +1,4 @@
-"""The entry's work on one request, from its headers to the end of its reply."""
+"""The entry service: processes a request from its headers to the end of its reply."""
 
 from collections.abc import AsyncIterator, Callable
 from http import HTTPStatus
@@ -47,26 +47,28 @@
 from wagtailpoint.verdict import Verdict
 
 READ_AHEAD_BYTES = 64 * 1024
-"""So much of a request body is read before a slot is taken: a caller that sends nothing holds none,
-and a body that ends within it can be sent again. The rest of a longer one is streamed and can't."""
+"""A request body is read up to this size before a slot is taken, so that a caller that sends no
+body holds no slot. A body within this size can be sent again; a longer one is streamed and can't.
+"""
 
-MOST_KEYED_ANSWER_BYTES = 8 * 1024 * 1024
-"""The whole answer to a keyed request is held while it runs, for the copies that join it."""
+MAX_KEYED_ANSWER_BYTES = 8 * 1024 * 1024
+"""The complete answer to a keyed request is held in memory for callers that join the attempt."""
 
 JOIN_GRACE_S = 1.0
-"""An attempt that is refused at its deadline ends after it, a busy process a while after it; those
-who wait for it no longer than their deadline (in seconds) would be told that it may have run."""
+"""Time beyond their deadline for which callers wait for an attempt they joined. An attempt that is
+refused at its deadline ends slightly later, and more so in a busy process. Callers that waited only
+until their deadline would be told that the request may have run."""
 
 
-Planned = Result[Plan, Refusal]
+PlanResult = Result[Plan, Refusal]
 
 
 class ReadBody(NamedTuple):
-    """A request body that was read.
+    """A request body that was read up to a size limit.
 
     Attributes:
-        read: What was read of it.
-        rest: The rest as it arrives; None if there is none.
+        read: The part that has been read.
+        rest: The rest as it arrives; None if ``read`` is the complete body.
     """
 
     read: bytes
@@ -74,7 +76,7 @@
 
 
 class EntryService:
-    """Takes requests from callers."""
+    """Serves callers' requests, with and without idempotency keys."""
 
     def __init__(
         self,
@@ -89,19 +91,19 @@
         observer: EntryObserver,
         max_body_bytes: int,
     ) -> None:
-        """Make the service.
+        """Initialise the service.
 
         Args:
-            config: What is in force now; None before there is any.
-            forwarder: Sends admitted requests.
-            keys: Remembers keyed requests.
-            claims: Claims keys that come without a binding.
-            bound_entries: Asks the instance that a key is bound to, when it is another one.
-            nursery: Runs keyed attempts, which outlive the connection of their first caller: a
-                repeat finds the attempt in flight or its answer, not a cancelled one.
-            gate: Counts the open requests and refuses new ones when the instance stops.
-            observer: Is told what becomes of each request.
-            max_body_bytes: The longest request body.
+            config: Returns the configuration in force; None before there is one.
+            forwarder: Forwards admitted requests to backend servers.
+            keys: Stores the state of keyed requests.
+            claims: Claims keys that arrive without a binding.
+            bound_entries: Queries the instance to which a key is bound if it is another one.
+            nursery: Runs keyed attempts. They continue after the connection of their first caller
+                has closed, so that a retry finds the attempt in flight or its answer.
+            gate: Counts open requests and refuses new ones while the instance stops.
+            observer: Receives the events of requests.
+            max_body_bytes: Maximum size of a request body.
         """
         self._config = config
         self._forwarder = forwarder
@@ -117,7 +119,8 @@
         """Reply to a request.
 
         Raises:
-            BodyBroken: The response broke off after the reply had begun; cut the connection.
+            BodyBroken: The response was truncated after the reply had begun; the connection must be
+                cut.
         """
         with self._gate.counted():
             try:
@@ -141,7 +144,7 @@
             return await send_refusal(sink, planned.err_value, None)
         return await self._handle_plain(planned.ok_value, request, sink)
 
-    def _plan(self, request: CallerRequest) -> Planned:
+    def _plan(self, request: CallerRequest) -> PlanResult:
         refusal = self._gate.refusal()
         if refusal is not None:
             return Err(refusal)
@@ -160,19 +163,19 @@
             return await send_refusal(sink, read.err_value, plan)
         body, rest = read.ok_value
         status = 0
-        # A caller may close its connection as soon as it has the last byte. That cancels this task,
-        # and a whole reply was then counted as abandoned, so nothing cancels what is left to do.
+        # A caller may close its connection as soon as it has the last byte, which cancels this task
+        # and would count a complete reply as abandoned. The rest of the work is therefore shielded.
         whole_reply = trio.CancelScope()
 
-        async def pass_on(response: BackendResponse) -> None:
+        async def forward_response(response: BackendResponse) -> None:
             nonlocal status
             status = response.status
-            left = int(header_value(response.headers, b"content-length") or -1)
+            bytes_left = int(header_value(response.headers, b"content-length") or -1)
             await sink.begin(status=status, headers=response.headers, verdict=Verdict.RAN)
             async for chunk in response.body:
                 await sink.send(chunk)
-                left -= len(chunk)
-                if left == 0:
+                bytes_left -= len(chunk)
+                if bytes_left == 0:
                     whole_reply.shield = True
             whole_reply.shield = True
 
@@ -182,22 +185,22 @@
                     plan=plan,
                     request=request,
                     body=body if rest is None else None,
-                    stream=None if rest is None else _joined(body, rest),
-                    fingerprint=_fingerprint(plan, request, body),
+                    stream=None if rest is None else _chain_body(body, rest),
+                    fingerprint=_request_fingerprint(plan, request, body),
                 )
-                outcome = await self._forwarder.forward(planned, sink=pass_on)
+                outcome = await self._forwarder.forward(planned, sink=forward_response)
         except (BodyTooLarge, BodyTooSlow) as error:
-            # A part of the body has gone to the backend server already.
-            refusal = self._bad_body(error)._replace(verdict=Verdict.MAY_HAVE_RUN)
+            # Part of the body has already been sent to the backend server.
+            refusal = self._body_refusal(error)._replace(verdict=Verdict.MAY_HAVE_RUN)
             return await send_refusal(sink, refusal, plan)
         if isinstance(outcome, Err):
             return await send_refusal(sink, outcome.err_value, plan)
         return CompletedRequest(plan, status, Verdict.RAN, "ok")
 
     async def _handle_keyed(
-        self, request: CallerRequest, key: RequestKey, sink: ReplySink, planned: Planned
+        self, request: CallerRequest, key: RequestKey, sink: ReplySink, planned: PlanResult
     ) -> CompletedRequest:
-        parsed = _binding(request)
+        parsed = _parse_binding_header(request)
         if isinstance(parsed, Err):
             return await send_refusal(sink, parsed.err_value, planned.ok())
         binding = parsed.ok_value
@@ -208,16 +211,16 @@
         if isinstance(read, Err):
             return await self._refuse_keyed(key, binding, read.err_value, sink, plan)
         body, _ = read.ok_value
-        mark = _fingerprint(plan, request, body)
-        begun = self._keys.begin(key, mark, binding)
+        digest = _request_fingerprint(plan, request, body)
+        begun = self._keys.begin(key, digest, binding)
         if isinstance(begun, Run):
-            # The key is in flight from here on; every way out of the attempt finishes it.
-            attempted = PlannedRequest(plan, request, body, None, mark)
+            # The key is now in flight; the attempt finishes it in every case.
+            attempted = PlannedRequest(plan, request, body, None, digest)
             self._nursery.start_soon(self._attempt, key, attempted, binding)
-            begun = self._keys.begin(key, mark, binding)
+            begun = self._keys.begin(key, digest, binding)
         if isinstance(begun, Reject) and begun.refusal.code is RefusalCode.OTHER_INCARNATION:
             assert binding is not None
-            remaining_s = self._forwarder.remaining(plan)
+            remaining_s = self._forwarder.remaining_s(plan)
             outcome = await self._bound_entries.settle(key, binding, wait_s=remaining_s)
             if outcome is not None:
                 return await send_outcome(sink, outcome, plan)
@@ -229,7 +232,7 @@
         match begun:
             case Join(attempt):
                 outcome: Outcome = MayHaveRun("still in flight at the deadline")
-                with trio.move_on_after(self._forwarder.remaining(plan) + JOIN_GRACE_S):
+                with trio.move_on_after(self._forwarder.remaining_s(plan) + JOIN_GRACE_S):
                     outcome = await attempt.wait()
                 return await send_outcome(sink, outcome, plan)
             case Replay(answer):
@@ -247,11 +250,11 @@
         sink: ReplySink,
         plan: Plan | None,
     ) -> CompletedRequest:
-        """Refuse one copy of a keyed request before its body is known.
+        """Refuse a keyed request before its body is known.
 
-        Its ``not-run`` is only true if no other copy runs, before or after: the key is forbidden
-        under this binding first. Otherwise a late copy could run after the caller, trusting the
-        refusal, has sent the request elsewhere.
+        The verdict ``not-run`` requires that no other copy of the request has run or will run, so
+        the key is first forbidden under this binding. Otherwise a delayed copy could run after the
+        caller, relying on the refusal, has sent the request elsewhere.
         """
         if binding is None:
             return await send_refusal(sink, refusal, plan)
@@ -268,14 +271,14 @@
     async def _attempt(
         self, key: RequestKey, planned: PlannedRequest, binding: Binding | None
     ) -> None:
-        """Run a keyed request to its end, whoever still waits for it."""
+        """Run a keyed request to its end, whether or not a caller still waits for it."""
         outcome: Outcome = MayHaveRun("the attempt was cut off")
         try:
             with self._gate.counted():
                 outcome = await self._run_keyed(key, planned, binding)
         except BodyBroken:
-            outcome = MayHaveRun("its answer broke off")
-        except Exception as error:  # noqa: BLE001 - one request's fault must not end the process
+            outcome = MayHaveRun("the answer of the backend server was truncated")
+        except Exception as error:  # noqa: BLE001 - one request's error must not end the process
             log_event("internal-error", level="ERROR", where="keyed attempt", error=repr(error))
         finally:
             self._keys.finish(key, outcome)
@@ -291,68 +294,68 @@
         answers: list[Answered] = []
 
         async def collect(response: BackendResponse) -> None:
-            answers.append(await _collected(response))
+            answers.append(await _collect_answer(response))
 
         outcome = await self._forwarder.forward(planned, sink=collect)
         if isinstance(outcome, Ok):
             return answers[0]
         if binding is None and outcome.err_value.verdict is Verdict.NOT_RUN:
             await self._claims.release(key)
-        return _outcome_of(outcome.err_value)
+        return _outcome_from_refusal(outcome.err_value)
 
     async def _claim(self, key: RequestKey, plan: Plan) -> Outcome | None:
-        """Claim a key that came without a binding; None if this process may run it."""
+        """Claim a key that arrived without a binding; return None if this process may run it."""
         claimed: Claimed | NotClaimed = NotClaimed(refusals.claim_timed_out(), None)
-        with trio.move_on_after(self._forwarder.remaining(plan)):
+        with trio.move_on_after(self._forwarder.remaining_s(plan)):
             claimed = await self._claims.claim(key)
         if isinstance(claimed, Claimed):
             return None
         outcome: Outcome | None = None
         if claimed.holder is not None:
-            # Another copy has the claim: its answer is this one's, too.
+            # Another copy of the request holds the claim, and its answer applies to this one too.
             outcome = await self._bound_entries.await_claimed(
-                key, claimed.holder["incarnation"], wait_s=self._forwarder.remaining(plan)
+                key, claimed.holder["incarnation"], wait_s=self._forwarder.remaining_s(plan)
             )
-        return outcome if outcome is not None else _outcome_of(claimed.refusal)
+        return outcome if outcome is not None else _outcome_from_refusal(claimed.refusal)
 
     async def _read_body(
-        self, deadline: float, request: CallerRequest, most_bytes: int
+        self, deadline: float, request: CallerRequest, max_bytes: int
     ) -> Result[ReadBody, Refusal]:
-        """Read the body, up to a size, within the deadline."""
+        """Read the body up to ``max_bytes`` before the deadline."""
         if request.body is None:
             return Ok(ReadBody(b"", None))
         parts = bytearray()
-        with trio.move_on_after(self._forwarder.until(deadline)) as scope:
+        with trio.move_on_after(self._forwarder.seconds_until(deadline)) as scope:
             try:
                 async for part in request.body:
                     parts += part
-                    if len(parts) > most_bytes:
+                    if len(parts) > max_bytes:
                         return Ok(ReadBody(bytes(parts), request.body))
             except (BodyTooLarge, BodyTooSlow) as error:
-                return Err(self._bad_body(error))
+                return Err(self._body_refusal(error))
         if scope.cancelled_caught:
             return Err(refusals.body_too_late())
         return Ok(ReadBody(bytes(parts), None))
 
-    def _bad_body(self, error: BodyTooLarge | BodyTooSlow) -> Refusal:
+    def _body_refusal(self, error: BodyTooLarge | BodyTooSlow) -> Refusal:
         if isinstance(error, BodyTooLarge):
             return refusals.too_large(self._max_body_bytes)
         return refusals.body_too_slow()
 
 
-def _fingerprint(plan: Plan, request: CallerRequest, body: bytes) -> str:
+def _request_fingerprint(plan: Plan, request: CallerRequest, body: bytes) -> str:
     return fingerprint(
         method=request.method, host=plan.workspace.name, target=request.target, body=body
     )
 
 
-async def _joined(first: bytes, rest: AsyncIterator[bytes]) -> AsyncIterator[bytes]:
+async def _chain_body(first: bytes, rest: AsyncIterator[bytes]) -> AsyncIterator[bytes]:
     yield first
     async for part in rest:
         yield part
 
 
-def _binding(request: CallerRequest) -> Result[Binding | None, Refusal]:
+def _parse_binding_header(request: CallerRequest) -> Result[Binding | None, Refusal]:
     text = header_value(request.headers, names.BINDING)
     if text is None:
         return Ok(None)
@@ -366,17 +369,17 @@
     return Err(refusal)
 
 
-async def _collected(response: BackendResponse) -> Answered:
+async def _collect_answer(response: BackendResponse) -> Answered:
     parts = bytearray()
     async for chunk in response.body:
-        if len(parts) + len(chunk) > MOST_KEYED_ANSWER_BYTES:
-            # The request ran; only its answer is lost, and the repeat is told so.
+        if len(parts) + len(chunk) > MAX_KEYED_ANSWER_BYTES:
+            # The request ran; only its answer is not stored, and retries are told so.
             return Answered(response.status, response.headers, None)
         parts += chunk
     return Answered(response.status, response.headers, bytes(parts))
 
 
-def _outcome_of(refusal: Refusal) -> Outcome:
+def _outcome_from_refusal(refusal: Refusal) -> Outcome:
     if refusal.verdict is Verdict.NOT_RUN:
         return NotRun(refusal)
     return MayHaveRun(refusal.reason)
--- a/src/wagtailpoint/observe/bounded_sink.py
+++ b/src/wagtailpoint/observe/bounded_sink.py
@@ -1,70 +1,70 @@
-"""Where log lines go: a stream that is never waited for, with a bound for each event."""
+"""A log sink that never blocks and limits the rate of lines of each event."""
 
 import select
 import time
 from typing import Any, Final, TextIO
 
 LINES_PER_S: Final = 300.0
-"""Of one event. An instance serves about 60 requests a second; more lines than that say little new
-while each costs about 0.1 ms of processor time."""
+"""Rate limit of one event. An instance serves about 60 requests per second; more lines than this
+add little information, and each costs about 0.1 ms of processor time."""
 
 BURST_LINES: Final = 600.0
 ATOMIC_BYTES: Final = 4096
-"""A pipe that is ready takes so much without blocking (PIPE_BUF)."""
+"""Bytes that a pipe that is ready accepts without blocking (PIPE_BUF)."""
 
 REPORT_INTERVAL_S: Final = 1.0
 
 
-class _Allowance:
-    """How many lines of one event may be written."""
+class _LineBudget:
+    """The token bucket of one event's lines."""
 
     def __init__(self, now: float) -> None:
         self.lines = BURST_LINES
-        self.at = now
+        self.updated_at = now
         self.dropped = 0
 
 
 class BoundedSink:
-    """Writes lines to a stream; drops what is too much or would block, and says how much."""
+    """Writes lines to a stream; drops and counts lines that exceed the limit or would block."""
 
     def __init__(self, *, stream: TextIO) -> None:
-        """Make it.
+        """Initialise the sink.
 
         Args:
-            stream: Usually standard output, where a reader that stops would block a plain write,
-                and with it every request of the process.
+            stream: The stream, usually standard output. If its reader stops reading, a blocking
+                write would block all requests of the process.
         """
         self._stream = stream
-        self._allowances: dict[str, _Allowance] = {}
+        self._budgets: dict[str, _LineBudget] = {}
         self._reported_at = 0.0
         self._blocked = 0
 
     def __call__(self, message: Any) -> None:
-        """Write one line; loguru's interface."""
+        """Write one line; called by loguru."""
         event = message.record["message"]
         now = time.monotonic()
-        allowance = self._allowances.get(event)
-        if allowance is None:
-            allowance = self._allowances[event] = _Allowance(now)
-        allowance.lines = min(BURST_LINES, allowance.lines + LINES_PER_S * (now - allowance.at))
-        allowance.at = now
-        if allowance.lines < 1.0:
-            allowance.dropped += 1
+        budget = self._budgets.get(event)
+        if budget is None:
+            budget = self._budgets[event] = _LineBudget(now)
+        budget.lines = min(BURST_LINES, budget.lines + LINES_PER_S * (now - budget.updated_at))
+        budget.updated_at = now
+        if budget.lines < 1.0:
+            budget.dropped += 1
             return
-        allowance.lines -= 1.0
+        budget.lines -= 1.0
         if now - self._reported_at > REPORT_INTERVAL_S:
             self._reported_at = now
             self._report()
         self._write(str(message))
 
     def _report(self) -> None:
-        dropped = {name: each.dropped for name, each in self._allowances.items() if each.dropped}
+        dropped = {name: budget.dropped for name, budget in self._budgets.items() if budget.dropped}
         if not dropped and not self._blocked:
             return
         pairs = " ".join(f"{name}={number}" for name, number in dropped.items())
         blocked, self._blocked = self._blocked, 0
-        for each in self._allowances.values():
-            each.dropped = 0
+        for budget in self._budgets.values():
+            budget.dropped = 0
         self._write(f"level=WARNING event=log-lines-dropped blocked={blocked} {pairs}\n")
 
     def _write(self, line: str) -> None:
@@ -78,5 +78,5 @@
         try:
             number = self._stream.fileno()
         except OSError:
-            return True  # A stream in memory.
+            return True  # An in-memory stream never blocks.
         return bool(select.select([], [number], [], 0)[1])
--- a/src/wagtailpoint/platform/settings.py
+++ b/src/wagtailpoint/platform/settings.py
@@ -144,9 +144,9 @@
         capacity=_capacity(wire.Self.Limits),
         bounds=ServiceBounds(
             grace_s=bounds.GraceS,
-            repeat_ratio=bounds.BudgetRatio,
-            repeat_window_s=bounds.BudgetWindowS,
-            repeat_slack=bounds.BudgetSlack,
+            retry_ratio=bounds.BudgetRatio,
+            retry_window_s=bounds.BudgetWindowS,
+            retry_slack=bounds.BudgetSlack,
             cold_overage=bounds.ColdOverage,
             cold_slack=bounds.ColdSlack,
             region_shift_max=bounds.MaxShift,
--- a/tests/cover/test_peers.py
+++ b/tests/cover/test_peers.py
@@ -15,7 +15,7 @@
 from wagtailpoint.observe.hlc import HybridClock
 from wagtailpoint.ports.clock import Clock
 from wagtailpoint.ports.peers import (
-    MOST_MESSAGE_BYTES,
+    MAX_MESSAGE_BYTES,
     PeerAddress,
     PeerFailure,
     Peers,
@@ -128,7 +128,7 @@
 
     def test_oversized_message_is_refused_by_the_sender(self) -> None:
         async def scenario(network: FakeNetwork, first: Peers, second: Peers) -> None:
-            self.assertFalse(first.send(second.address, Question("x" * MOST_MESSAGE_BYTES)))
+            self.assertFalse(first.send(second.address, Question("x" * MAX_MESSAGE_BYTES)))
             self.assertEqual(first.counts.dropped, {"too-large": 1})
 
         self.run_pair(scenario)
--- a/tests/cover/test_platform_documents.py
+++ b/tests/cover/test_platform_documents.py
@@ -184,7 +184,7 @@
         self.assertEqual((settings.name, settings.region), ("entry-1", "a"))
         self.assertEqual(settings.store, Endpoint("10.0.0.1", 8142))
         self.assertEqual(settings.seeds, (Endpoint("10.1.0.1", 8146),))
-        self.assertEqual(settings.bounds.repeat_slack, 58)
+        self.assertEqual(settings.bounds.retry_slack, 58)
 
     def test_key_lag_is_bounded_only_if_strict(self) -> None:
         def key_lag_s(**bounds: Any) -> float:
