--- a/bench/backend_connections.py
+++ b/bench/backend_connections.py
@@ -19,7 +19,7 @@
 from tests.common.sockets import loopback_address
 
 from wagtailpoint.adapters.backend_http import HttpBackends
-from wagtailpoint.adapters.backend_pool import SAFE_IDLE_S
+from wagtailpoint.adapters.backend_pool import MAX_REUSE_IDLE_S
 from wagtailpoint.ports.backend import BackendAddress, BackendRequest
 
 PORT = 9100
@@ -74,7 +74,7 @@
 
 
 async def _measure_costs(server: BackendAddress, count: int) -> dict[str, tuple[float, float]]:
-    backends, fresh = HttpBackends(), HttpBackends(kept_connections=0)
+    backends, fresh = HttpBackends(), HttpBackends(max_idle_connections=0)
 
     async def exchange(backends: HttpBackends, number: int) -> None:
         request = request_of(number, idempotent=True)
@@ -112,8 +112,8 @@
 def _run_race(count: int) -> list[str]:
     lines = [f"{'releases, server closes after 0.1 s':36}  may-have-run  connections opened"]
     spoilt = {}
-    baseline = f"used again within {SAFE_IDLE_S:g} s"
-    for name, safe_idle_s in ((baseline, SAFE_IDLE_S), ("learned limit", None)):
+    baseline = f"used again within {MAX_REUSE_IDLE_S:g} s"
+    for name, safe_idle_s in ((baseline, MAX_REUSE_IDLE_S), ("learned limit", None)):
         spoilt[name], opened = trio.run(_measure_race, count, safe_idle_s)
         lines.append(f"{name:36}  {spoilt[name]:6}/{count:<5}  {opened:18}")
         _FIGURES.setdefault("releases spoilt", {})[name] = spoilt[name]
@@ -140,7 +140,7 @@
         for number in range(count // users):
             await trio.sleep(choose.expovariate(1 / 0.1))
             if safe_idle_s is not None:
-                backends._pool(server)._safe_idle_s = safe_idle_s
+                backends._pool(server)._max_reuse_idle_s = safe_idle_s
             request = request_of(user * count + number, idempotent=False)
             async with backends.exchange(server, request) as answered:
                 if isinstance(answered, Err):
--- a/src/wagtailpoint/adapters/backend_headers.py
+++ b/src/wagtailpoint/adapters/backend_headers.py
@@ -11,7 +11,7 @@
 DRAINING_HEADER = b"wagtailpoint-draining"
 SHED_NOT_RUN = b"not-run"
 
-RETURN_ALLOWANCE_S = 0.005
+RESPONSE_MARGIN_S = 0.005
 """Subtracted from the forwarded deadline, in seconds, so that a response sent just before the
 deadline still arrives in time."""
 
@@ -53,7 +53,7 @@
             headers.append((b"Content-Length", b"0"))
     elif first_value(headers, b"content-length") is None:
         headers.append((b"Transfer-Encoding", b"chunked"))
-    deadline_ms = max(1, int((remaining_s - RETURN_ALLOWANCE_S) * 1000))
+    deadline_ms = max(1, int((remaining_s - RESPONSE_MARGIN_S) * 1000))
     headers.append((b"Wagtailpoint-Deadline-Ms", str(deadline_ms).encode()))
     headers.append((b"Wagtailpoint-Request-Id", request.request_id.encode()))
     return headers
--- a/src/wagtailpoint/adapters/backend_http.py
+++ b/src/wagtailpoint/adapters/backend_http.py
@@ -79,18 +79,18 @@
     def __init__(
         self,
         *,
-        kept_connections: int = MAX_IDLE_CONNECTIONS,
+        max_idle_connections: int = MAX_IDLE_CONNECTIONS,
         max_connections: int = MAX_CONNECTIONS,
         body_stall_s: float = BODY_STALL_TIMEOUT_S,
     ) -> None:
         """Initialise the adapter without opening a connection.
 
         Args:
-            kept_connections: Maximum number of idle connections per backend server.
+            max_idle_connections: Maximum number of idle connections per backend server.
             max_connections: Maximum number of concurrent exchanges per backend server.
             body_stall_s: Maximum time without data within a response body, in seconds.
         """
-        self._max_idle = kept_connections
+        self._max_idle = max_idle_connections
         self._max_connections = max_connections
         self._body_stall_s = body_stall_s
         self._pools: dict[BackendAddress, ConnectionPool] = {}
--- a/src/wagtailpoint/adapters/backend_pool.py
+++ b/src/wagtailpoint/adapters/backend_pool.py
@@ -12,7 +12,7 @@
 """Idle time after which a connection is closed, in seconds. Just under the shortest usual
 keep-alive time of servers (5 s), so that usually this side closes first."""
 
-SAFE_IDLE_S = 1.0
+MAX_REUSE_IDLE_S = 1.0
 """Maximum idle time of a connection that is reused for a non-idempotent request, in seconds.
 
 A server may close an idle connection while a request is on its way. The resulting reset does not
@@ -73,8 +73,8 @@
     """The connections to one backend server.
 
     The maximum idle time before reuse by a non-idempotent request adapts to the server: half of the
-    idle time after which a connection was found closed by the server, and at most ``SAFE_IDLE_S``.
-    It rises again when a connection works after a longer idle time.
+    idle time after which a connection was found closed by the server, and at most
+    ``MAX_REUSE_IDLE_S``. It rises again when a connection works after a longer idle time.
 
     Attributes:
         opened: Connections opened since the start.
@@ -97,7 +97,7 @@
         # Used as a stack: the most recently used connection is reused first, so that surplus ones
         # reach the idle timeout.
         self._idle: deque[PooledConnection] = deque()
-        self._safe_idle_s = SAFE_IDLE_S
+        self._max_reuse_idle_s = MAX_REUSE_IDLE_S
 
     @property
     def idle(self) -> int:
@@ -148,7 +148,7 @@
 
     async def _take(self, *, idempotent: bool) -> PooledConnection:
         await self.close_idle(min_idle_s=IDLE_TIMEOUT_S)
-        max_idle_s = IDLE_TIMEOUT_S if idempotent else self._safe_idle_s
+        max_idle_s = IDLE_TIMEOUT_S if idempotent else self._max_reuse_idle_s
         while self._idle and self._idle[-1].idle_s <= max_idle_s:
             connection = self._idle.pop()
             if not connection.closed_by_server:
@@ -156,15 +156,15 @@
                 connection.idle_before_reuse_s = connection.idle_s
                 return connection
             self._record_closed(connection.idle_s)
-            max_idle_s = max_idle_s if idempotent else self._safe_idle_s
+            max_idle_s = max_idle_s if idempotent else self._max_reuse_idle_s
             await connection.close()
         self.opened += 1
         return PooledConnection(server=self._server, stream=await connect(self._server))
 
     def _record_closed(self, idle_s: float | None) -> None:
         if idle_s is not None:
-            self._safe_idle_s = min(self._safe_idle_s, idle_s / 2)
+            self._max_reuse_idle_s = min(self._max_reuse_idle_s, idle_s / 2)
 
     def _record_reused(self, idle_s: float | None) -> None:
         if idle_s is not None:
-            self._safe_idle_s = max(self._safe_idle_s, min(SAFE_IDLE_S, idle_s / 2))
+            self._max_reuse_idle_s = max(self._max_reuse_idle_s, min(MAX_REUSE_IDLE_S, idle_s / 2))
--- a/src/wagtailpoint/caller/caller.py
+++ b/src/wagtailpoint/caller/caller.py
@@ -22,9 +22,9 @@
 from wagtailpoint.caller.download import Download
 from wagtailpoint.caller.entries import Entries, KnownEntry
 from wagtailpoint.caller.exchange import (
-    Broken,
     EntryAddress,
     Exchanges,
+    FailedExchange,
     Headers,
     OpenReply,
     Outgoing,
@@ -203,7 +203,7 @@
             result = await exchange(entry.address, outgoing, until=attempt_until)
             tried.append(entry)
             if not _is_retryable(result):
-                assert not isinstance(result, Broken)
+                assert not isinstance(result, FailedExchange)
                 return result, entry
             if not self._may_retry(result, idempotent, len(tried), until):
                 return _reply_or_raise(result), entry
@@ -219,7 +219,7 @@
 
     async def _send_copies(
         self, outgoing: Outgoing, key: str, bound: BoundKey, until: float
-    ) -> tuple[Reply | Broken, KnownEntry]:
+    ) -> tuple[Reply | FailedExchange, KnownEntry]:
         tried: list[KnownEntry] = []
         last_start = until - MIN_REMAINING_FRACTION * (until - trio.current_time())
         while True:
@@ -227,7 +227,7 @@
             if entry is None:
                 entry = bound.bind(await self._entries.choose(tried, until=until))
             receiver = await self._choose_receiver(entry, tried, until)
-            bound.note_copy()
+            bound.record_copy()
             result = await self._exchanges.exchange(
                 receiver.address,
                 _with_key(outgoing, key, entry.binding),
@@ -258,7 +258,7 @@
         return bound_entry if alternative.address == bound_entry.address else alternative
 
     async def _may_send_copy(
-        self, result: Reply | Broken, bound: BoundKey, tried: list[KnownEntry], until: float
+        self, result: Reply | FailedExchange, bound: BoundKey, tried: list[KnownEntry], until: float
     ) -> bool:
         """Return whether to send another copy, after the delay before it."""
         if bound.entry is None:
@@ -271,15 +271,21 @@
             return False
         return await self._sleep_with_jitter(_MIN_RETRY_DELAY_S * 2 ** len(tried), until)
 
-    def _update_entries(self, entry: KnownEntry, result: OpenReply | Reply | Broken) -> None:
-        if isinstance(result, Broken):
+    def _update_entries(
+        self, entry: KnownEntry, result: OpenReply | Reply | FailedExchange
+    ) -> None:
+        if isinstance(result, FailedExchange):
             self._entries.mark_suspect(entry.address)
         elif result.status == HTTPStatus.CONFLICT:
             # A retryable conflict means an outdated binding, so the cached lookup is stale.
             self._entries.mark_stale()
 
     def _may_retry(
-        self, result: OpenReply | Reply | Broken, idempotent: bool, attempts: int, until: float
+        self,
+        result: OpenReply | Reply | FailedExchange,
+        idempotent: bool,
+        attempts: int,
+        until: float,
     ) -> bool:
         verdict = _verdict(result)
         decision = decide_retry(
@@ -293,7 +299,7 @@
         return decision.allowed
 
     async def _wait_before_retry(
-        self, result: OpenReply | Reply | Broken, tried: list[KnownEntry], until: float
+        self, result: OpenReply | Reply | FailedExchange, tried: list[KnownEntry], until: float
     ) -> bool:
         """Wait as long as the refusal asks for; return False if the deadline is before that."""
         next_entry = await self._entries.choose(tried, until=until)
@@ -328,14 +334,14 @@
     return outgoing._replace(headers=wire_headers)
 
 
-def _verdict(result: OpenReply | Reply | Broken) -> Verdict:
-    if isinstance(result, Broken):
+def _verdict(result: OpenReply | Reply | FailedExchange) -> Verdict:
+    if isinstance(result, FailedExchange):
         return Verdict.MAY_HAVE_RUN if result.sent else Verdict.NOT_RUN
     return read_verdict(result.headers)
 
 
-def _is_retryable(result: OpenReply | Reply | Broken) -> bool:
-    if isinstance(result, Broken):
+def _is_retryable(result: OpenReply | Reply | FailedExchange) -> bool:
+    if isinstance(result, FailedExchange):
         return True
     verdict = read_verdict(result.headers)
     if result.status == HTTPStatus.CONFLICT:
@@ -355,14 +361,14 @@
     return refusal_code(result.status, result.body if isinstance(result, Reply) else b"")
 
 
-def _reply_or_raise(result: OpenReply | Reply | Broken) -> OpenReply | Reply:
-    if isinstance(result, Broken):
+def _reply_or_raise(result: OpenReply | Reply | FailedExchange) -> OpenReply | Reply:
+    if isinstance(result, FailedExchange):
         raise RequestUnanswered(verdict=_verdict(result), reason=result.reason)
     return result
 
 
-def _corrected_keyed_reply(result: Reply | Broken, bound: BoundKey) -> Reply:
-    if isinstance(result, Broken):
+def _corrected_keyed_reply(result: Reply | FailedExchange, bound: BoundKey) -> Reply:
+    if isinstance(result, FailedExchange):
         # A copy that was not sent shows nothing about an earlier one that was.
         verdict = Verdict.NOT_RUN if bound.is_not_run_certain else Verdict.MAY_HAVE_RUN
         raise RequestUnanswered(verdict=verdict, reason=result.reason)
--- a/src/wagtailpoint/caller/exchange.py
+++ b/src/wagtailpoint/caller/exchange.py
@@ -51,7 +51,7 @@
     body: bytes
 
 
-class Broken(NamedTuple):
+class FailedExchange(NamedTuple):
     """An exchange without a complete response.
 
     Attributes:
@@ -145,7 +145,7 @@
         *,
         until: float,
         deadline: float | None = None,
-    ) -> Reply | Broken:
+    ) -> Reply | FailedExchange:
         """Send one copy of a request and read the whole answer, without retries.
 
         Args:
@@ -164,8 +164,8 @@
             try:
                 return await opened.read()
             except BrokenReply as broken:
-                return Broken(True, str(broken))
-        return Broken(True, "deadline")
+                return FailedExchange(True, str(broken))
+        return FailedExchange(True, "deadline")
 
     async def open(
         self,
@@ -174,17 +174,17 @@
         *,
         until: float,
         deadline: float | None = None,
-    ) -> OpenReply | Reply | Broken:
+    ) -> OpenReply | Reply | FailedExchange:
         """Send one copy and wait for the response's headers; the body of a refusal is read too."""
         sent = _SendTracker()
         with trio.move_on_at(until):
             try:
                 return await self._open(entry, outgoing, sent, until, deadline or until)
             except _HTTP_ERRORS as error:
-                return Broken(sent.sent, type(error).__name__)
+                return FailedExchange(sent.sent, type(error).__name__)
             except BrokenReply as broken:
-                return Broken(True, str(broken))
-        return Broken(sent.sent, "deadline")
+                return FailedExchange(True, str(broken))
+        return FailedExchange(sent.sent, "deadline")
 
     async def _open(
         self,
--- a/src/wagtailpoint/caller/keys.py
+++ b/src/wagtailpoint/caller/keys.py
@@ -9,7 +9,7 @@
 from wagtailpoint.admission.refusal import RefusalCode
 from wagtailpoint.caller.answer import read_verdict, refusal_code, with_verdict
 from wagtailpoint.caller.entries import KnownEntry
-from wagtailpoint.caller.exchange import Broken, Reply
+from wagtailpoint.caller.exchange import FailedExchange, Reply
 from wagtailpoint.idempotency.binding import parse_binding
 from wagtailpoint.verdict import Verdict
 
@@ -62,13 +62,13 @@
             self._entry = _with_attempt(entry, self._attempt)
         return self._entry
 
-    def note_copy(self) -> None:
+    def record_copy(self) -> None:
         """Count a copy, before it is sent so that it stays counted if the task is cancelled."""
         self._copies += 1
 
     def settle(
-        self, entry: KnownEntry, result: Reply | Broken, *, via_other_entry: bool = False
-    ) -> Reply | Broken:
+        self, entry: KnownEntry, result: Reply | FailedExchange, *, via_other_entry: bool = False
+    ) -> Reply | FailedExchange:
         """Update the binding after the result of one copy.
 
         Args:
@@ -80,7 +80,7 @@
             The result, with its verdict corrected by the number of copies that may have been sent,
             which only the caller knows.
         """
-        if isinstance(result, Broken):
+        if isinstance(result, FailedExchange):
             if not result.sent:
                 self._discard_unsent_copy(entry)
             return result
--- a/src/wagtailpoint/daemon/entry_pages.py
+++ b/src/wagtailpoint/daemon/entry_pages.py
@@ -9,7 +9,12 @@
 from wagtailpoint.observe.log import log_event
 from wagtailpoint.observe.metrics import Metrics
 from wagtailpoint.observe.prometheus import CONTENT_TYPE
-from wagtailpoint.platform.pages import LookupQuestion, encode_lookup, is_readiness, parse_lookup
+from wagtailpoint.platform.pages import (
+    CallerLocation,
+    encode_lookup,
+    is_readiness_check,
+    parse_lookup,
+)
 from wagtailpoint.ports.peers import Peers
 from wagtailpoint.proxy.caller_exchange import CallerExchange, IncomingRequest
 
@@ -55,7 +60,7 @@
 
     async def handle(self, request: IncomingRequest, caller: CallerExchange) -> None:
         """Answer a question."""
-        if is_readiness(request.target):
+        if is_readiness_check(request.target):
             ready = self._is_ready()
             await caller.reply(HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE, (), b"")
             return
@@ -77,7 +82,7 @@
         headers = ((b"content-type", CONTENT_TYPE),)
         await caller.reply(HTTPStatus.OK, headers, metrics_text(measured))
 
-    def entries_for(self, question: LookupQuestion) -> list[Endpoint]:
+    def entries_for(self, question: CallerLocation) -> list[Endpoint]:
         """The entries that a caller shall use: the nearest that there are."""
         nearest = self._entries.nearest(question.failure_domain, question.region)
         return [Endpoint(each.address, each.port) for each in nearest[:MOST_NAMED]]
--- a/src/wagtailpoint/platform/pages.py
+++ b/src/wagtailpoint/platform/pages.py
@@ -12,7 +12,7 @@
 RESOLVE_PATH = "/api/resolve"
 
 
-class LookupQuestion(NamedTuple):
+class CallerLocation(NamedTuple):
     """The location of a caller that looks up entries.
 
     Attributes:
@@ -29,13 +29,13 @@
     TtlS: float
 
 
-def parse_lookup(target: str) -> LookupQuestion | None:
+def parse_lookup(target: str) -> CallerLocation | None:
     """Parse the target of a lookup; return None if it is no lookup."""
     parts = urlsplit(target)
     if parts.path != RESOLVE_PATH:
         return None
     query = parse_qs(parts.query)
-    return LookupQuestion(query.get("Region", [""])[0], query.get("Zone", [""])[0])
+    return CallerLocation(query.get("Region", [""])[0], query.get("Zone", [""])[0])
 
 
 def encode_lookup(entries: Sequence[Endpoint], ttl_s: float) -> bytes:
@@ -43,6 +43,6 @@
     return msgspec.json.encode(_Resolved([str(entry) for entry in entries], ttl_s))
 
 
-def is_readiness(target: str) -> bool:
+def is_readiness_check(target: str) -> bool:
     """Return whether the target is the platform's readiness check."""
     return urlsplit(target).path == READY_PATH
--- a/tests/cover/test_backend_http.py
+++ b/tests/cover/test_backend_http.py
@@ -15,7 +15,7 @@
 from tests.common.sockets import loopback_address
 from wagtailpoint import Verdict
 from wagtailpoint.adapters.backend_http import HttpBackends
-from wagtailpoint.adapters.backend_pool import SAFE_IDLE_S
+from wagtailpoint.adapters.backend_pool import MAX_REUSE_IDLE_S
 from wagtailpoint.ports.backend import (
     BackendAddress,
     BackendFailure,
@@ -390,7 +390,7 @@
         async def test(fixture: Fixture) -> None:
             await fixture.ask(request_of("a"))
             pool = fixture.backends._pool(fixture.server)
-            pool._idle[-1].idle_since -= SAFE_IDLE_S + 0.1
+            pool._idle[-1].idle_since -= MAX_REUSE_IDLE_S + 0.1
             await fixture.ask(request_of("b"))
             self.assertEqual(fixture.backends.counts(fixture.server), (2, 0, 2))
             await fixture.ask(request_of("c", idempotent=True))
--- a/tests/cover/test_caller_keys.py
+++ b/tests/cover/test_caller_keys.py
@@ -5,7 +5,7 @@
 from wagtailpoint import headers
 from wagtailpoint.caller.answer import read_verdict
 from wagtailpoint.caller.entries import KnownEntry
-from wagtailpoint.caller.exchange import Broken, EntryAddress, Reply
+from wagtailpoint.caller.exchange import EntryAddress, FailedExchange, Reply
 from wagtailpoint.caller.keys import BoundKey
 from wagtailpoint.verdict import Verdict
 
@@ -20,7 +20,7 @@
 
     def send(self, entry: KnownEntry) -> KnownEntry:
         bound = self.bound.bind(entry)
-        self.bound.note_copy()
+        self.bound.record_copy()
         return bound
 
     def settle(self, entry: KnownEntry, reply: Reply) -> Verdict:
@@ -46,13 +46,13 @@
         first, second = self.send(FIRST_ENTRY), self.send(FIRST_ENTRY)
         self.settle(first, REFUSED)
         running = self.send(SECOND_ENTRY)
-        self.bound.settle(second, Broken(False, "ConnectError"))
+        self.bound.settle(second, FailedExchange(False, "ConnectError"))
         self.assertIs(self.bound.entry, running)
 
     def test_key_stays_bound_if_one_of_two_copies_was_sent(self) -> None:
         first = self.send(FIRST_ENTRY)
         self.send(FIRST_ENTRY)
-        self.bound.settle(first, Broken(False, "ConnectError"))
+        self.bound.settle(first, FailedExchange(False, "ConnectError"))
         self.assertIs(self.bound.entry, first)
 
     def test_not_run_is_not_certain_during_another_call(self) -> None:
--- a/tests/integration/test_leaving.py
+++ b/tests/integration/test_leaving.py
@@ -17,7 +17,7 @@
 from tests.common.verdict_check import count_executions
 from wagtailpoint.caller import Caller, EntryAddress
 from wagtailpoint.caller.entries import LOOKUP_PATH
-from wagtailpoint.caller.exchange import Broken, Exchanges, OpenReply, Outgoing, Reply
+from wagtailpoint.caller.exchange import Exchanges, FailedExchange, OpenReply, Outgoing, Reply
 from wagtailpoint.errors import WagtailpointError
 from wagtailpoint.verdict import Verdict
 
@@ -184,12 +184,12 @@
 
     async def open(
         self, entry: EntryAddress, outgoing: Outgoing, **times: Any
-    ) -> OpenReply | Reply | Broken:
+    ) -> OpenReply | Reply | FailedExchange:
         result = await super().open(entry, outgoing, **times)
         # After a download longer than the TTL of its lookup, a caller sends the next lookup to the
         # entry that it knew; that one may be gone, and another is asked.
         is_lookup = outgoing.target.startswith(LOOKUP_PATH)
-        if isinstance(result, Broken) and result.sent and not is_lookup:
+        if isinstance(result, FailedExchange) and result.sent and not is_lookup:
             self.cut.append(f"{outgoing.method} {outgoing.target} at {entry}: {result.reason}")
         return result
 
--- a/tests/integration/test_whole_answers.py
+++ b/tests/integration/test_whole_answers.py
@@ -10,7 +10,7 @@
 from tests.common.platform_process import fresh_address
 from tests.common.raw_caller import Place
 from wagtailpoint.caller import Caller, EntryAddress
-from wagtailpoint.caller.exchange import Broken, Exchanges, Outgoing, Reply
+from wagtailpoint.caller.exchange import Exchanges, FailedExchange, Outgoing, Reply
 from wagtailpoint.errors import RequestUnanswered
 
 REQUESTS = 60
@@ -88,7 +88,7 @@
         async def test() -> None:
             place = (fresh_address(), PROXY_PORT)
             first = self.running.entries[0].place
-            results: list[Reply | Broken] = []
+            results: list[Reply | FailedExchange] = []
 
             async def ask(path: str) -> None:
                 exchanges = Exchanges(connect_timeout_s=1.0, idle_timeout_s=5.0)
@@ -108,7 +108,7 @@
                     for number in range(8):
                         callers.start_soon(ask, f"/deposits/balance/swapped-{number}")
                 nursery.cancel_scope.cancel()
-            self.assertEqual([type(result) for result in results], [Broken] * 8)
+            self.assertEqual([type(result) for result in results], [FailedExchange] * 8)
 
         self.run_trio(test)
 
--- a/tests/nocover/test_at_most_once.py
+++ b/tests/nocover/test_at_most_once.py
@@ -24,7 +24,7 @@
 from wagtailpoint import headers
 from wagtailpoint.admission.refusal import Refusal, RefusalCode
 from wagtailpoint.caller.entries import KnownEntry
-from wagtailpoint.caller.exchange import Broken, EntryAddress, Reply
+from wagtailpoint.caller.exchange import EntryAddress, FailedExchange, Reply
 from wagtailpoint.caller.keys import BoundKey
 from wagtailpoint.idempotency.binding import Binding, parse_binding
 from wagtailpoint.idempotency.keys import Join, KeyStore, Reject, Replay, RequestKey, Run
@@ -98,14 +98,14 @@
             entry = bound.entry or bound.bind(
                 KnownEntry(EntryAddress("127.0.0.1", to), "a", str(binding))
             )
-            bound.note_copy()
+            bound.record_copy()
             self.network.append(Copy(key, entry, entry.address.port))
 
     @precondition(lambda self: self.network)
     @rule(pick=PICK)
     def connection_never_established(self, pick: int) -> None:
         copy = self.network.pop(pick % len(self.network))
-        self.bound[copy.key].settle(copy.entry, Broken(False, "ConnectError"))
+        self.bound[copy.key].settle(copy.entry, FailedExchange(False, "ConnectError"))
 
     @precondition(lambda self: self.network)
     @rule(pick=PICK, lose=st.booleans())
@@ -164,10 +164,10 @@
         self.running = [copy for copy in self.running if copy.to != number]
         self.joined = [copy for copy in self.joined if copy.to != number]
         for copy in lost:
-            self.bound[copy.key].settle(copy.entry, Broken(True, "reset"))
+            self.bound[copy.key].settle(copy.entry, FailedExchange(True, "reset"))
 
     def reply(self, copy: Copy, reply: Reply, lose: bool) -> None:
-        result: Reply | Broken = Broken(True, "reset") if lose else reply
+        result: Reply | FailedExchange = FailedExchange(True, "reset") if lose else reply
         settled = self.bound[copy.key].settle(copy.entry, result)
         if isinstance(settled, Reply) and (headers.VERDICT, b"not-run") in settled.headers:
             self.told_not_run[copy.key].add(copy.binding.attempt)
