--- a/bench/backend_connections.py
+++ b/bench/backend_connections.py
@@ -19,7 +19,7 @@
 from tests.common.sockets import loopback_address
 
 from wagtailpoint.adapters.backend_http import HttpBackends
-from wagtailpoint.adapters.backend_pool import SAFE_IDLE_S
+from wagtailpoint.adapters.backend_pool import MAX_REUSE_IDLE_S
 from wagtailpoint.ports.backend import BackendAddress, BackendRequest
 
 PORT = 9100
@@ -80,7 +80,7 @@
 
 
 async def _measure_costs(server: BackendAddress, count: int) -> dict[str, tuple[float, float]]:
-    backends, fresh = HttpBackends(), HttpBackends(kept_connections=0)
+    backends, fresh = HttpBackends(), HttpBackends(max_idle_connections=0)
 
     async def exchange(backends: HttpBackends, number: int) -> None:
         request = build_request(number, idempotent=True)
@@ -118,8 +118,8 @@
 def _run_race(count: int) -> list[str]:
     lines = [f"{'releases, server closes after 0.1 s':36}  may-have-run  connections opened"]
     may_have_run = {}
-    baseline = f"used again within {SAFE_IDLE_S:g} s"
-    for name, safe_idle_s in ((baseline, SAFE_IDLE_S), ("learned limit", None)):
+    baseline = f"used again within {MAX_REUSE_IDLE_S:g} s"
+    for name, safe_idle_s in ((baseline, MAX_REUSE_IDLE_S), ("learned limit", None)):
         may_have_run[name], opened = trio.run(_measure_race, count, safe_idle_s)
         lines.append(f"{name:36}  {may_have_run[name]:6}/{count:<5}  {opened:18}")
         _FIGURES.setdefault("releases spoilt", {})[name] = may_have_run[name]
