--- a/bench/backend_connections.py
+++ b/bench/backend_connections.py
@@ -119,8 +119,8 @@
     lines = [f"{'releases, server closes after 0.1 s':36}  may-have-run  connections opened"]
     may_have_run = {}
     baseline = f"used again within {MAX_REUSE_IDLE_S:g} s"
-    for name, safe_idle_s in ((baseline, MAX_REUSE_IDLE_S), ("learned limit", None)):
-        may_have_run[name], opened = trio.run(_measure_race, count, safe_idle_s)
+    for name, max_reuse_idle_s in ((baseline, MAX_REUSE_IDLE_S), ("learned limit", None)):
+        may_have_run[name], opened = trio.run(_measure_race, count, max_reuse_idle_s)
         lines.append(f"{name:36}  {may_have_run[name]:6}/{count:<5}  {opened:18}")
         _FIGURES.setdefault("releases spoilt", {})[name] = may_have_run[name]
     learned, fixed = may_have_run["learned limit"], may_have_run[baseline]
@@ -130,12 +130,12 @@
     return lines
 
 
-async def _measure_race(count: int, safe_idle_s: float | None) -> tuple[int, int]:
+async def _measure_race(count: int, max_reuse_idle_s: float | None) -> tuple[int, int]:
     """Return how many releases ended in `may-have-run`, and how many connections were opened.
 
     Args:
         count: The number of releases to send.
-        safe_idle_s: The idle limit for reusing a connection, in seconds; None to learn it.
+        max_reuse_idle_s: The idle limit for reusing a connection, in seconds; None to learn it.
     """
     host, sender_count = loopback_address(), 4
     worker, backends = Worker(service_ms=1.0, slots=50), HttpBackends()
@@ -147,8 +147,8 @@
         nonlocal may_have_run
         for number in range(count // sender_count):
             await trio.sleep(rng.expovariate(1 / 0.1))
-            if safe_idle_s is not None:
-                backends._pool(server)._safe_idle_s = safe_idle_s
+            if max_reuse_idle_s is not None:
+                backends._pool(server)._max_reuse_idle_s = max_reuse_idle_s
             request = build_request(sender * count + number, idempotent=False)
             async with backends.exchange(server, request) as answered:
                 if isinstance(answered, Err):
