--- a/tests/common/backend_standin.py
+++ b/tests/common/backend_standin.py
@@ -1,8 +1,8 @@
-"""A stand-in for the users' backend servers, with faults to order and a record of what ran.
+"""A stand-in for backend servers that injects faults and records which requests ran.
 
-One process may serve many workers, each with its own port, slots and record. A request runs in a
-slot, see ``backend_worker``; this module is its HTTP side. `GET /standin/record` shows the record,
-`/standin/mode` orders faults.
+One process can serve many workers, each with a separate port, slots and record. This module is the
+HTTP side; ``backend_worker`` runs requests in slots. `GET /standin/record` returns the record,
+`/standin/mode` sets the faults.
 """
 
 import json
@@ -30,7 +30,7 @@
 
 
 class Connection:
-    """One accepted connection, known to the requests that arrive on it."""
+    """One accepted connection, shared by the requests that arrive on it."""
 
     def __init__(self, *, stream: trio.SocketStream) -> None:
         self.stream = stream
@@ -67,7 +67,7 @@
             await self._serve(body)
 
     async def _read_body(self) -> bytes:
-        """The first megabyte of the body."""
+        """Read the whole body; return about its first megabyte."""
         body = b""
         while True:
             message = await self._receive()
@@ -205,7 +205,7 @@
     async def _stream(self, chunks: Any, length: int, pause_s: float = 0.0) -> None:
         worker, sent = self._worker, 0
         cut = length
-        # The orders of the test itself are always answered whole.
+        # Requests for the record and the mode are always answered completely.
         if not self._scope["path"].startswith("/standin/"):
             cut = length // 2 if worker.hit("die_in_body") else cut
             cut = length - 1 if worker.hit("short_body") else cut
@@ -236,15 +236,15 @@
     await exchange.run()
     idle_s = worker.mode.get("idle_close_s")
     if idle_s is not None:
-        # The answer is out and did not say `Connection: close`: the caller believes that the
-        # connection can be used again.
+        # The answer did not contain `Connection: close`, so the caller expects to reuse the
+        # connection.
         await trio.sleep(idle_s)
         if connection.requests == number:
             await connection.stream.aclose()
 
 
 def bulk_bytes(start: int, end: int) -> bytes:
-    """The bytes of every bulk file from ``start`` to before ``end``."""
+    """Return the bytes of any bulk file from ``start`` up to, but not including, ``end``."""
     shift = start % len(PATTERN)
     return (PATTERN * (2 + (end - start) // len(PATTERN)))[shift : shift + end - start]
 
@@ -255,15 +255,15 @@
     """Serve one worker until cancelled."""
     config = Config()
     config.errorlog = None
-    # hypercorn keeps a connection that its peer closed while idle until this time is over.
+    # Hypercorn holds an idle connection that its peer closed until this timeout (s) ends.
     config.keep_alive_timeout = 10
     config.include_server_header = False
     app = wrap_app(partial(serve_exchange, worker), config.wsgi_max_body_size, "asgi")
     context = WorkerContext(None)
 
     async def serve_connection(stream: trio.SocketStream) -> None:
-        # Tasks of hypercorn below this one inherit the context, so that the application finds the
-        # socket that it shall break.
+        # Tasks that hypercorn starts below this one inherit the context, so that the application
+        # finds the socket to which it applies a fault.
         _CONNECTION.set(Connection(stream=stream))
         state = ConnectionState(LifespanState())
         await TCPServer(app, config, context, state, stream).run()  # type: ignore[arg-type]
@@ -275,8 +275,8 @@
 @click.command()
 @click.option("--address", required=True, help="Loopback address to listen on.")
 @click.option("--port", type=int, required=True, help="Port of the first worker.")
-@click.option("--count", type=int, default=1, help="Workers, on consecutive ports.")
-@click.option("--also", multiple=True, help="ADDRESS:PORT of one more worker; repeatable.")
+@click.option("--count", type=int, default=1, help="Number of workers, on consecutive ports.")
+@click.option("--also", multiple=True, help="ADDRESS:PORT of another worker; may be repeated.")
 @click.option("--service", default="deposit-desk")
 @click.option("--slots", type=int, default=3)
 @click.option("--service-ms", type=float, default=20.0, help="Mean service time.")
@@ -285,7 +285,7 @@
 @click.option("--cold-factor", type=float, default=1.0)
 @click.option("--cold-requests", type=int, default=0)
 def main(address: str, port: int, count: int, also: tuple[str, ...], **options: Any) -> None:
-    """Run stand-ins for backend servers until killed."""
+    """Run stand-ins for backend servers until the process is killed."""
     places = [(address, port + number) for number in range(count)]
     for text in also:
         other, _, other_port = text.rpartition(":")
@@ -294,7 +294,7 @@
     async def run() -> None:
         seed = options.pop("seed")
         async with trio.open_nursery() as nursery:
-            # The first worker listens last: who waits for its port then finds all of them.
+            # The first worker listens last, so that all are ready when its port accepts.
             for number, place in reversed(list(enumerate(places))):
                 worker = Worker(seed=seed + number, **options)
                 await nursery.start(partial(serve_worker, worker, *place))
--- a/tests/common/backend_worker.py
+++ b/tests/common/backend_worker.py
@@ -1,7 +1,7 @@
-"""One stand-in for a backend server, without its HTTP side: slots, queue, faults and record.
+"""The slots, queue, faults and record of a stand-in for a backend server, without HTTP.
 
-A request runs in a slot for a seeded exponential time. The record is what tests compare every
-verdict with: an execution is recorded when its slot is taken, before any answer can leave.
+A request runs in a slot for an exponential time from a seeded generator. Tests compare verdicts
+with the record: an execution is recorded when its slot is taken, before any answer can be sent.
 """
 
 import random
@@ -15,7 +15,7 @@
 
 
 class Mode(TypedDict, total=False):
-    """Faults; a number for a fault is the part of the requests (0 to 1) that it hits."""
+    """The faults; unless noted, a number is the fraction (0 to 1) of affected requests."""
 
     slow: float  # factor on the service time
     reset_after: float  # run, then close without an answer
@@ -24,14 +24,14 @@
     short_body: float  # announce more bytes than are sent, then close
     cross: float  # answer with another request's id
     no_id: float  # answer without the request's id
-    bare_503: float  # run, then answer 503 without any word on it
-    glue: float  # send a second, unasked answer right behind the answer
+    bare_503: float  # run, then answer 503 without saying that the request ran
+    glue: float  # send an unsolicited second answer directly after the answer
     no_validator: bool  # answer downloads without an ETag
     deaf: bool  # ignore deadlines
     draining: bool
-    report: dict[str, object]  # fields of the load report that lie
-    report_lag_s: float  # the report shows the state of that long ago
-    idle_close_s: float | None  # close a connection that was idle for so long
+    report: dict[str, object]  # wrong values for fields of the load report
+    report_lag_s: float  # age of the state in the load report, in seconds
+    idle_close_s: float | None  # close a connection after this idle time, in seconds
 
 
 class Worker:
@@ -71,7 +71,7 @@
         return part > 0 and self._random.random() < part
 
     def report(self) -> dict[str, object]:
-        """The load report; late by ``report_lag_s`` and with the lies of ``report``."""
+        """Return the load report, delayed by ``report_lag_s``, with the overrides of ``report``."""
         ran, cold_requests = self.counts["ran"], self._cold[1]
         now = time.monotonic()
         fresh: dict[str, object] = {
@@ -99,7 +99,7 @@
         }
 
     async def take_slot(self, deadline_s: float) -> bool:
-        """Wait in the queue; False if the deadline passed there."""
+        """Wait in the queue for a slot; return False if the deadline passed there."""
         self._queued += 1
         self.most_present = max(self.most_present, self._busy + self._queued)
         try:
@@ -111,7 +111,7 @@
             self._queued -= 1
 
     async def run_request(self, request_id: str, key: str | None, deadline_s: float) -> bool:
-        """Run a request in the slot that was taken; False if the deadline passed meanwhile."""
+        """Run a request in the taken slot; return False if the deadline passed meanwhile."""
         self._busy += 1
         self.most_busy = max(self.most_busy, self._busy)
         self.counts["ran"] += 1
@@ -127,7 +127,7 @@
         return False
 
     def give_unused_slot(self) -> None:
-        """Give back a slot that was taken for a caller that had gone by then."""
+        """Release a slot that was taken for a caller that has already disconnected."""
         self._slot.release()
 
     def give_slot(self) -> None:
--- a/tests/common/fake_clock.py
+++ b/tests/common/fake_clock.py
@@ -1,4 +1,4 @@
-"""Clocks for tests: one moved by hand, one that follows trio's (mock) clock."""
+"""Clocks for tests: one set by the test, one that follows trio's (mock) clock."""
 
 import trio
 
@@ -6,7 +6,7 @@
 
 
 class FakeClock:
-    """Moves only when told to."""
+    """A clock that advances only when the test sets ``now``."""
 
     def __init__(self) -> None:
         self.now = 1000.0
--- a/tests/common/fake_peers.py
+++ b/tests/common/fake_peers.py
@@ -1,4 +1,4 @@
-"""Links between instances in memory, which can be cut, and instances that can be frozen."""
+"""Links between instances in memory that can be cut, with instances that can be frozen."""
 
 from collections.abc import Iterable
 from itertools import product
@@ -14,7 +14,7 @@
 
 
 class FakeNetwork:
-    """Carries the messages of all ``FakePeers``; a frozen instance's are kept until it thaws."""
+    """Delivers messages of all ``FakePeers``; holds those of frozen instances until they thaw."""
 
     def __init__(self) -> None:
         self._listening: dict[tuple[str, int], FakePeers] = {}
@@ -24,11 +24,11 @@
         self.delivered_bytes = 0
 
     def cut(self, senders: Iterable[str], receivers: Iterable[str]) -> None:
-        """Lose everything that goes this way; the other way still works."""
+        """Drop all messages from senders to receivers; the opposite direction still works."""
         self._cut |= set(product(senders, receivers))
 
     def cut_apart(self, some: Iterable[str], others: Iterable[str]) -> None:
-        """Lose everything between two sets of addresses."""
+        """Drop all messages between two sets of addresses, in both directions."""
         some, others = list(some), list(others)
         self.cut(some, others)
         self.cut(others, some)
@@ -37,11 +37,11 @@
         self._cut.clear()
 
     def freeze(self, address: str) -> None:
-        """Keep all messages to and from an address."""
+        """Hold all messages to and from an address."""
         self._frozen.add(address)
 
     def thaw(self, address: str) -> None:
-        """Deliver what was kept."""
+        """Deliver the held messages of an address."""
         self._frozen.discard(address)
         kept, self._kept = self._kept, []
         for sender, to, data in kept:
--- a/tests/common/fake_platform.py
+++ b/tests/common/fake_platform.py
@@ -1,4 +1,4 @@
-"""An in-memory ``Platform`` that can be down, lose answers, answer stale and be raced."""
+"""An in-memory ``Platform`` that can be down, lose answers, answer stale data and be raced."""
 
 from collections import Counter, deque
 from collections.abc import Awaitable, Callable, Sequence
@@ -25,23 +25,24 @@
     """The object API in memory.
 
     Attributes:
-        store: The objects, for a test to look at.
-        down: Every call answers ``PlatformUnavailable``; waiting watches too.
-        silent: Calls that come now, and watches that wait, are never answered, also later.
-        lose_answers: So many next writes take effect and answer ``OutcomeUnknown``.
-        lose_requests: So many next writes answer ``OutcomeUnknown`` and do not take effect.
-        late_writes: So many next puts answer ``OutcomeUnknown`` and take effect, if their condition
-            still holds, at ``deliver_late``.
-        refuse_calls: So many next calls answer ``PlatformUnavailable``.
-        writes_of: The faults of writes only meet objects of this kind; None: of any kind.
-        before_put: Runs before each put, for example to let another operator be first.
-        after_put: Runs after each put took effect and before its answer.
-        scripted_watches: Answers for the next watches, before real ones.
-        deaf: Watches that begin now are never answered; all other calls are.
-        page_size: How many objects a page of a cheap read has.
-        list_delay_s: How long the answer to a listing is on its way, in seconds.
+        store: The stored objects, for inspection by a test.
+        down: Whether every call, and every waiting watch, answers ``PlatformUnavailable``.
+        silent: Whether calls that arrive, and watches that wait, are never answered, not even after
+            the fault ends.
+        lose_answers: The number of next writes that take effect and answer ``OutcomeUnknown``.
+        lose_requests: The number of next writes that answer ``OutcomeUnknown`` without effect.
+        late_writes: The number of next puts that answer ``OutcomeUnknown`` and take effect, if
+            their condition still holds, at ``deliver_late``.
+        refuse_calls: The number of next calls that answer ``PlatformUnavailable``.
+        writes_of: The kind of objects to which the faults of writes apply; None for every kind.
+        before_put: Called before each put, for example to let another operator write first.
+        after_put: Called after each put took effect and before its answer.
+        scripted_watches: The answers to the next watches, which precede real answers.
+        deaf: Whether watches that begin are never answered; other calls are answered.
+        page_size: The number of objects on a page of ``peek``.
+        list_delay_s: The delay of the answer to a listing, in seconds.
         listed: The list of instances.
-        counts: Calls by (method, kind); a waiting watch as one.
+        counts: The number of calls by (method, kind); a waiting watch counts as one call.
     """
 
     def __init__(self, *, most_events: int = MOST_EVENTS_KEPT) -> None:
@@ -66,16 +67,16 @@
         self._changed = trio.Event()
 
     def answer_stale(self, replica: ObjectStore | None = None) -> None:
-        """From now on reads and watches answer from a copy; by default, one made now."""
+        """Answer reads and watches from a copy, by default one of the current objects."""
         self._stale = replica or self.store.copy()
 
     def answer_fresh(self) -> None:
-        """Reads and watches answer the truth again."""
+        """Answer reads and watches from the current objects again."""
         self._stale = None
         self._wake()
 
     def deliver_late(self) -> None:
-        """Let the late writes take effect."""
+        """Apply the late writes."""
         for write in self._late:
             self.store.put(*write)
         self._late.clear()
@@ -87,12 +88,12 @@
         self._wake()
 
     def set_silent(self, silent: bool) -> None:
-        """Stop to answer, or begin again; watches that wait now are never answered."""
+        """Stop or resume answering; watches that wait at this time are never answered."""
         self.silent = silent
         self._wake()
 
     async def peek(self, *, kind: str, after: str) -> Result[Page, PlatformUnavailable]:
-        """A page of ``page_size`` objects; ``PeekingStore``."""
+        """Return a page of ``page_size`` objects; implements ``PeekingStore``."""
         refusal = await self._arrive("CHECK", kind)
         if refusal:
             return Err(refusal)
--- a/tests/common/fault_proxy.py
+++ b/tests/common/fault_proxy.py
@@ -1,9 +1,9 @@
-"""A TCP proxy that breaks connections on demand, for tests of failures.
+"""A TCP proxy that injects network faults.
 
-In a test: ``FaultProxy`` with its methods. As a program: `python -m tests.common.fault_proxy
---route LISTEN=TARGET --control ADDRESS`; the control port takes one JSON object a line, for example
+Tests use ``FaultProxy`` directly, or run `python -m tests.common.fault_proxy --route LISTEN=TARGET
+--control ADDRESS`. The control port reads one JSON object per line, for example
 `{"fault": "delay", "delay_s": 0.05}` or `{"route": 1, "fault": "drop-answer", "times": 1}`, and
-answers each with a line.
+answers each line with a line.
 """
 
 import math
@@ -18,7 +18,7 @@
 
 CHUNK = 64 * 1024
 KEPT_CHUNKS = 64
-"""Chunks kept in each direction; a sender is held up beyond that, as by a full TCP window."""
+"""Chunks buffered in each direction; a full buffer blocks the sender, like a full TCP window."""
 
 Direction = Literal["to-server", "to-client"]
 FaultName = Literal[
@@ -27,7 +27,7 @@
 
 
 class Address(NamedTuple):
-    """Where the proxy listens, or what it connects to."""
+    """An address on which the proxy listens, or to which it connects."""
 
     host: str
     port: int
@@ -39,26 +39,26 @@
 
 
 class Fault(NamedTuple):
-    """What is wrong with the proxied connections."""
+    """A fault of the proxied connections."""
 
     name: FaultName = "pass"
-    direction: Direction = "to-client"  # half-cut: the one that is swallowed
+    direction: Direction = "to-client"  # half-cut: the direction whose bytes are discarded
     delay_s: float = 0.0  # delay: added in each direction
-    after_bytes: int = 0  # truncate: bytes of the answers of a connection that still pass
-    times: float = math.inf  # truncate, drop-answer: so many connections are hit
+    after_bytes: int = 0  # truncate: bytes of answers that pass on each connection
+    times: float = math.inf  # truncate, drop-answer: the number of affected connections
 
 
 class ProxiedConnection:
-    """A client's connection and the proxy's own to the server."""
+    """A connection of a client, and the proxy's connection to the server for it."""
 
     def __init__(self, *, client: trio.SocketStream, server: trio.SocketStream) -> None:
         self.client = client
         self.server = server
-        # Answers go there; crossing swaps it with another connection's.
+        # The stream to which answers are sent; crossing swaps it with that of another connection.
         self.answers_to = client
         self.answered_bytes = 0
-        # A request passed and nothing of its answer yet: only then is it crossed, for no network
-        # swaps the rest of a half-sent answer, and nobody could tell.
+        # Set while a request has passed but no part of its answer. Only then are answers crossed:
+        # a caller could not detect that the rest of a partly sent answer was swapped.
         self.asked = False
         self.crossed = False
 
@@ -68,7 +68,7 @@
 
 
 async def send_on(stream: trio.SocketStream, chunk: bytes) -> None:
-    """Send a chunk, or the end if it is empty."""
+    """Send a chunk, or an end of file if the chunk is empty."""
     await (stream.send_all(chunk) if chunk else stream.send_eof())
 
 
@@ -89,11 +89,11 @@
 
     @property
     def connections(self) -> int:
-        """Connections open now."""
+        """The number of open connections."""
         return len(self._connections)
 
     async def set_fault(self, fault: Fault) -> None:
-        """Replace the fault; returns when it is in force."""
+        """Replace the fault; return when the new fault is in effect."""
         self._fault = fault
         self._waiting_to_cross = None
         self._changed.set()
@@ -107,7 +107,7 @@
             await self._listening.wait()
 
     async def pass_through(self) -> None:
-        """Mend everything; frozen bytes go on, swallowed ones are lost."""
+        """Remove the fault; frozen bytes are delivered, discarded bytes are lost."""
         await self.set_fault(Fault())
 
     async def cut(self) -> None:
@@ -115,23 +115,23 @@
         await self.set_fault(Fault("cut"))
 
     async def half_cut(self, direction: Direction) -> None:
-        """Swallow what goes in one direction."""
+        """Discard all bytes in one direction."""
         await self.set_fault(Fault("half-cut", direction=direction))
 
     async def freeze(self) -> None:
-        """Keep all bytes until the fault changes."""
+        """Hold all bytes back until the fault changes."""
         await self.set_fault(Fault("freeze"))
 
     async def delay(self, delay_s: float) -> None:
-        """Let bytes wait, in each direction."""
+        """Delay all bytes in each direction by ``delay_s`` seconds."""
         await self.set_fault(Fault("delay", delay_s=delay_s))
 
     async def truncate(self, after_bytes: int, times: float = math.inf) -> None:
-        """End connections after so many bytes of answers."""
+        """Close connections after ``after_bytes`` bytes of answers."""
         await self.set_fault(Fault("truncate", after_bytes=after_bytes, times=times))
 
     async def drop_answers(self, times: float = math.inf) -> None:
-        """Reset connections when the answer comes: the request has passed."""
+        """Reset connections when the answer arrives, after the request has passed."""
         await self.set_fault(Fault("drop-answer", times=times))
 
     async def cross_answers(self) -> None:
@@ -206,7 +206,7 @@
     async def _apply_fault(
         self, connection: ProxiedConnection, direction: Direction, arrived_at: float, chunk: bytes
     ) -> bool:
-        """Pass a chunk on (an empty one is the end), as the fault lets it; False if it is over."""
+        """Forward a chunk (empty at the end) subject to the fault; return False to close."""
         while self._fault.name == "freeze":
             await self._changed.wait()
         if self._fault.name == "delay":
@@ -254,7 +254,7 @@
 
 
 class Command(TypedDict, total=False):
-    """A line on the control port: a fault, for one route or for all."""
+    """A command on the control port: a fault for one route, or for all routes."""
 
     fault: Required[FaultName]
     route: int
@@ -265,7 +265,7 @@
 
 
 async def control(proxies: list[FaultProxy], stream: trio.abc.Stream) -> None:
-    """Obey the lines of one control connection."""
+    """Execute the commands of one control connection."""
     received = b""
     async for part in stream:
         received += part
@@ -291,10 +291,12 @@
 
 
 @click.command()
-@click.option("--route", "routes", multiple=True, required=True, help="LISTEN=TARGET, repeatable.")
+@click.option(
+    "--route", "routes", multiple=True, required=True, help="LISTEN=TARGET; may be repeated."
+)
 @click.option("--control", "control_at", required=True, help="ADDRESS:PORT of the control port.")
 def main(routes: tuple[str, ...], control_at: str) -> None:
-    """Run fault-injecting TCP proxies until killed."""
+    """Run fault-injecting TCP proxies until the process is killed."""
 
     async def run() -> None:
         ends = [[Address.parse(end) for end in route.split("=")] for route in routes]
--- a/tests/common/http_server.py
+++ b/tests/common/http_server.py
@@ -1,7 +1,7 @@
-"""A small HTTP server by h11 whose application may close a connection without any answer.
+"""A small HTTP server on h11 whose application can close a connection without an answer.
 
-An ASGI server does not let its application do that, and it is the fault that matters most for
-writes: they took effect and their answer is lost.
+ASGI servers do not let an application do this. It simulates a write that took effect although its
+answer was lost, which is the most important fault of writes.
 """
 
 from collections.abc import Awaitable, Callable, Sequence
@@ -16,7 +16,7 @@
 
 
 class Call(NamedTuple):
-    """One request."""
+    """A request."""
 
     method: str
     path: Sequence[str]
@@ -24,12 +24,12 @@
     body: bytes
 
     def number(self, name: str) -> float:
-        """A number from the query, 0 if absent."""
+        """Return a number from the query, or 0 if it is absent."""
         return float(self.query.get(name, ["0"])[0])
 
 
 class Answer(NamedTuple):
-    """One response."""
+    """A response."""
 
     status: int
     value: Any
@@ -37,11 +37,11 @@
 
 
 class NoAnswer(Exception):
-    """The connection is to be closed without an answer."""
+    """Raised by the application to close the connection without an answer."""
 
 
 async def receive(connection: h11.Connection, stream: trio.SocketStream) -> Call | None:
-    """The next request of a connection; None when the client has closed it."""
+    """Read the next request of a connection; return None if the client closed it."""
     request: h11.Request | None = None
     body = bytearray()
     while True:
--- a/tests/common/known_red.py
+++ b/tests/common/known_red.py
@@ -1,8 +1,8 @@
-"""nose2 plugin: the tests in KNOWN-RED.txt may fail; every other failure fails the run.
+"""A nose2 plugin that lets the tests in KNOWN-RED.txt fail; any other failure fails the run.
 
-A test that shows a real fault may land before the fault is mended, but only by being listed. The
-plugin prints each listed test with its entry, so the list can't be forgotten, and fails the run
-when a listed test passes, so that the list can't go stale. It also prints one plain closing line.
+A test that shows a real fault may be merged before the fault is fixed, but only if it is listed.
+The plugin prints the entry of each listed test that fails, so that the list stays visible, and
+fails the run when a listed test passes, so that the list stays current. It also prints a summary.
 """
 
 from pathlib import Path
@@ -18,7 +18,10 @@
     """Read the listed tests.
 
     Returns:
-        The test id of each entry with its whole line.
+        The whole line of each entry by test id.
+
+    Raises:
+        ValueError: More tests are listed than allowed.
     """
     lines = KNOWN_RED_FILE.read_text().splitlines()
     entries = [line for line in lines if line.strip() and not line.startswith("#")]
@@ -28,7 +31,7 @@
 
 
 class KnownRed(Plugin):  # type: ignore[misc]
-    """Count the results and let just the listed tests fail."""
+    """Counts the results and lets only the listed tests fail."""
 
     configSection = "known-red"  # noqa: N815 - the name that nose2 reads
 
@@ -55,13 +58,13 @@
         elif event.outcome == "skipped":
             self._skipped += 1
         elif event.outcome == "subtest":
-            # Reported for every subtest, passed ones too; only the exception tells them apart.
+            # Reported for passed subtests too; only a failed one has an exception.
             self._failed += event.exc_info is not None
         else:
             self._failed += 1
 
     def afterSummaryReport(self, event: Any) -> None:  # noqa: N802 - nose2's name
-        """Print the closing line."""
+        """Print unexpected passes and the summary line."""
         for test in self._unexpected_passes:
             print(f"{test} passes: take it out of KNOWN-RED.txt")
         print(f"{self._passed} passed, {self._failed} failed, {self._skipped} skipped")
--- a/tests/common/load.py
+++ b/tests/common/load.py
@@ -1,4 +1,4 @@
-"""A steady load of requests from callers of several regions, for tests with real processes."""
+"""Steady load from callers of several regions, for tests with real processes."""
 
 from collections import Counter
 from collections.abc import AsyncIterator, Sequence
@@ -15,7 +15,7 @@
 
 
 class SteadyLoad:
-    """GETs of ``path/NUMBER`` at an even rate, each by the next caller; counts their ends."""
+    """Sends GETs of ``path/NUMBER`` at a constant rate, with callers in turn; counts results."""
 
     def __init__(self, *, callers: Sequence[Caller], path: str, rate: float) -> None:
         self.ends: Counter[str] = Counter()
@@ -46,7 +46,7 @@
 async def steady_load(
     running: RunningDeployment, *, workspace: str, path: str, rate: float, clients: Sequence[str]
 ) -> AsyncIterator[SteadyLoad]:
-    """Keep up a load while the block runs."""
+    """Send a steady load while the context is active."""
     async with AsyncExitStack() as stack:
         callers = [
             await stack.enter_async_context(running.caller(workspace, address=client))
--- a/tests/common/proxy_process.py
+++ b/tests/common/proxy_process.py
@@ -1,4 +1,4 @@
-"""The fault-injecting proxy as a process of a test that blocks."""
+"""Runs the fault-injecting proxy as a process, for tests that block."""
 
 import json
 import socket
@@ -13,7 +13,7 @@
 
 
 class ProxyProcess(ModuleProcess):
-    """``tests.common.fault_proxy`` with one route, on a fresh address."""
+    """Runs ``tests.common.fault_proxy`` with one route, on an unused address."""
 
     def __init__(self, *, target: Place) -> None:
         address = fresh_address()
@@ -28,7 +28,7 @@
         )
 
     def order(self, command: dict[str, Any]) -> None:
-        """Order a fault, see ``fault_proxy.Command``; returns when it is in force."""
+        """Set a fault, see ``fault_proxy.Command``; return when it is in effect."""
         with socket.create_connection(self._control, timeout=LIMIT_S) as stream:
             stream.sendall(json.dumps(command).encode() + b"\n")
             answer = json.loads(stream.makefile().readline())
--- a/tests/common/raw_caller.py
+++ b/tests/common/raw_caller.py
@@ -1,7 +1,7 @@
-"""A caller without any cleverness: one copy of one request to one given place, and what came back.
+"""A minimal caller, which sends one copy of a request to a given entry and records the answer.
 
-The caller library hides the faults that these tests are about: it chooses the entry, repeats by
-itself and corrects verdicts. Here the test chooses.
+The caller library would hide the faults under test, as it chooses the entry, retries and corrects
+verdicts. With this caller, the test makes these choices.
 """
 
 from collections.abc import Sequence
@@ -20,16 +20,16 @@
 
 
 class Heard(NamedTuple):
-    """What a caller heard of one copy.
+    """The answer to one copy of a request.
 
     Attributes:
-        path: Of the request; the tests give each request its own, which names it in the records
-            of the backend servers.
-        status: HTTP status; 0 if no whole answer came.
-        verdict: As the answer said, or as the broken connection allows.
-        code: The refusal's code.
+        path: The path of the request. Tests use a unique path for each request, which identifies
+            it in the records of the backend servers.
+        status: The HTTP status; 0 if no complete answer arrived.
+        verdict: The verdict of the answer, or the one that follows from the broken connection.
+        code: The code of the refusal.
         body: The whole body.
-        retry_after_s: When to come back, in seconds; None if not said.
+        retry_after_s: The delay in seconds after which to retry; None if not given.
     """
 
     path: str
@@ -41,7 +41,7 @@
 
 
 class RawCaller:
-    """Sends single copies and keeps all that it heard, for ``verdict_check``."""
+    """Sends single copies of requests and records all answers, for ``verdict_check``."""
 
     def __init__(self, *, workspace: str = "surakkha") -> None:
         self._workspace = workspace
@@ -57,7 +57,7 @@
         binding: str | None = None,
         deadline_s: float = 5.0,
     ) -> Heard:
-        """Send one copy on a connection of its own."""
+        """Send one copy of a request on a new connection."""
         headers = [
             ("host", f"{place[0]}:{place[1]}"),
             ("wagtailpoint-workspace", self._workspace),
@@ -121,7 +121,7 @@
 
 
 async def read_binding(place: Place) -> str:
-    """The binding that an entry gives out now."""
+    """Return the binding that an entry currently gives to callers."""
     async with httpcore.AsyncConnectionPool() as pool:
         response = await pool.request("GET", f"http://{place[0]}:{place[1]}/v1/status")
     own = msgspec.json.decode(response.content)["instance"]
--- a/tests/common/scripted_entry.py
+++ b/tests/common/scripted_entry.py
@@ -1,4 +1,4 @@
-"""An entry instance whose answers a test scripts, over real sockets in the test's process."""
+"""An entry instance with scripted answers, over real sockets in the process of the test."""
 
 import json
 import random
@@ -23,7 +23,7 @@
 
 
 class Say(NamedTuple):
-    """An answer; with ``cut_after`` the connection ends after so many bytes of the body."""
+    """An answer; the connection is closed after ``cut_after`` bytes of the body, if set."""
 
     status: int
     verdict: str = "ran"
@@ -41,7 +41,7 @@
 
 
 class ScriptedEntry:
-    """Serves on an address of its own; a handler that returns None has the connection cut."""
+    """Serves on a random loopback address; closes a connection if the handler returns None."""
 
     def __init__(self, *, handler: Handler, domain: str = "a", incarnation: str = "0" * 16) -> None:
         self.address = fresh_address()
@@ -120,7 +120,7 @@
         ("Content-Length", str(len(said.body))),
         *said.headers,
     ]
-    # The last one wins: a test can override the request id.
+    # The last value of a name is sent, so that a test can override the request id.
     by_name = {name.lower(): value for name, value in headers}
     response = h11.Response(status_code=said.status, headers=list(by_name.items()))
     wire = connection.send(response) or b""
--- a/tests/common/scripted_server.py
+++ b/tests/common/scripted_server.py
@@ -1,4 +1,4 @@
-"""A TCP server whose every connection is served by a script of the test."""
+"""A TCP server that serves each connection with a script of the test."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import asynccontextmanager
@@ -12,14 +12,14 @@
 
 
 class ScriptedStream:
-    """One connection, seen from the server: whole requests in, any bytes out."""
+    """The server side of a connection: receives whole requests and sends any bytes."""
 
     def __init__(self, *, stream: trio.SocketStream) -> None:
         self.stream = stream
         self._buffer = b""
 
     async def request(self) -> bytes:
-        """Read one request, head and body; empty at the end of the connection."""
+        """Read one request with head and body; return nothing at the end of the connection."""
         while b"\r\n\r\n" not in self._buffer:
             if not await self._more():
                 return b""
@@ -36,7 +36,7 @@
         return head + b"\r\n\r\n" + rest[:length]
 
     async def send(self, data: bytes) -> None:
-        """Send bytes."""
+        """Send bytes as they are."""
         await self.stream.send_all(data)
 
     async def _more(self) -> bool:
@@ -46,14 +46,14 @@
 
 
 def response(body: bytes, *headers: str, status: str = "200 OK") -> bytes:
-    """A response with a length."""
+    """Encode a response with a content length."""
     lines = [f"HTTP/1.1 {status}", *headers, f"Content-Length: {len(body)}"]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
 @asynccontextmanager
 async def scripted_server(script: Script) -> AsyncIterator[BackendAddress]:
-    """Serve every connection by ``script`` until the context ends."""
+    """Serve every connection with ``script`` while the context is active."""
     address = loopback_address()
     listeners = await trio.open_tcp_listeners(0, host=address)
     port = listeners[0].socket.getsockname()[1]
--- a/tests/common/stepped_platform.py
+++ b/tests/common/stepped_platform.py
@@ -1,7 +1,7 @@
-"""A platform and processes whose every message a test moves by hand.
+"""A platform and processes for tests that control the delivery of each message.
 
-Each call is a request on its way, then an answer on its way. A test delivers either when it likes,
-loses either, or freezes and kills the process that waits.
+Each call is a request in transit, then an answer in transit. A test decides when each is delivered
+or lost, and can freeze or kill the waiting process.
 """
 
 from collections.abc import Callable, Coroutine, Generator, Sequence
@@ -16,7 +16,7 @@
 
 
 class World:
-    """Real time, the store, and the requests on their way."""
+    """The real time, the store, and the requests in transit."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -26,7 +26,7 @@
 
 
 class Request:
-    """One call; awaiting it hands it to whoever drives the coroutine."""
+    """A call to the platform; awaiting it yields it to the driver of the coroutine."""
 
     def __init__(self, act: Callable[[], Any], *, is_write: bool) -> None:
         self._act = act
@@ -48,7 +48,7 @@
 
 
 class SteppedPlatform:
-    """The port as one process sees it."""
+    """Implements the platform port for one process."""
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -83,7 +83,7 @@
 
 
 class DriftingClock:
-    """One process's clock: another offset and a slightly different rate."""
+    """The clock of one process, with an offset and a slightly different rate."""
 
     def __init__(self, world: World, *, rate: float, offset: float) -> None:
         self._world = world
@@ -125,14 +125,14 @@
             self._resume(None)
 
     def receive(self, *, lost: bool = False) -> None:
-        """Get the answer, or conclude that it is lost."""
+        """Resume the work with the delivered answer, or with the error for a lost answer."""
         request = self._waiting
         if not self.awake or request is None or not (lost or request.delivered):
             return
         self._resume(request.lost_answer() if lost else request.answer)
 
     def finish(self) -> None:
-        """Run the work in progress to its end without any fault."""
+        """Run the work in progress to completion without faults."""
         while self.awake and self._waiting is not None:
             self._waiting.deliver(self.world)
             self.receive()
--- a/tests/common/verdict_check.py
+++ b/tests/common/verdict_check.py
@@ -1,7 +1,7 @@
-"""Compares what callers were told with what the backend servers' own records say.
+"""Compares the verdicts that callers received with the records of the backend servers.
 
-Each request of a test has a path of its own, so that its executions are found in the records
-whatever entry, attempt or request id it went by.
+Each request of a test has a unique path, which identifies its executions in the records for every
+entry, attempt and request id.
 """
 
 from collections import Counter
@@ -17,13 +17,13 @@
 
 
 class VerdictFaults(NamedTuple):
-    """The false answers of a run; all must be empty.
+    """The false answers of a run; all fields must be empty.
 
     Attributes:
         ran_although_not_run: Paths whose every answer said ``not-run``, but which ran.
-        not_run_although_ran: Paths told ``ran`` that no backend server has run.
-        ran_twice: Non-idempotent paths that ran more often than once.
-        crossed: Paths that were given the answer to another one.
+        not_run_although_ran: Paths with the verdict ``ran`` that no backend server ran.
+        ran_twice: Non-idempotent paths that ran more than once.
+        crossed: Paths that received the answer to another path.
     """
 
     ran_although_not_run: tuple[str, ...]
@@ -36,7 +36,7 @@
 
 
 def count_executions(records: Iterable[Mapping[str, Any]]) -> Counter[str]:
-    """How often each path was executed, over all backend servers."""
+    """Count the executions of each path on all backend servers."""
     executions: Counter[str] = Counter()
     for record in records:
         for arrival in record["arrivals"]:
@@ -51,10 +51,10 @@
     """Check every answer of a run.
 
     Args:
-        heard: All answers, also those of repeats. A path told ``not-run`` and later ``ran`` must
-            have run once: a copy that ran in spite of the refusal would make it two.
-        records: Of all backend servers, read after the last answer.
-        at_most_once: Whether the requests may run only once each.
+        heard: All answers, including those to retries. A path with the verdict ``not-run`` and
+            later ``ran`` must have run once; it ran twice if the refused copy ran too.
+        records: The records of all backend servers, read after the last answer.
+        at_most_once: Whether each request must not run more than once.
     """
     heard = list(heard)
     executions = count_executions(records)
@@ -72,7 +72,7 @@
 
 
 def _is_crossed(answer: Heard) -> bool:
-    """Whether a backend server's answer, which repeats the path asked for, is another's."""
+    """Return whether an answer, which contains the path of its request, is for another path."""
     if answer.verdict is not Verdict.RAN or answer.status != OK_STATUS:
         return False
     return bool(msgspec.json.decode(answer.body)["path"] != answer.path)
--- a/tests/cover/test_fault_proxy.py
+++ b/tests/cover/test_fault_proxy.py
@@ -1,4 +1,4 @@
-"""The fault-injecting proxy does to connections what it says."""
+"""Each fault of the fault-injecting proxy has its described effect on connections."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -62,7 +62,7 @@
 
         run_with_proxy(test)
 
-    def test_freeze_keeps_bytes_and_half_cut_swallows_them(self) -> None:
+    def test_freeze_holds_bytes_and_half_cut_discards_them(self) -> None:
         async def test(rig: Rig) -> None:
             stream = await rig.connect()
             await rig.proxy.freeze()
