--- a/tests/integration/test_verdicts.py
+++ b/tests/integration/test_verdicts.py
@@ -1,4 +1,4 @@
-"""``not-run`` is true: every answer is compared with the records of the backend servers."""
+"""Verdicts are true: every answer is compared with the records of the backend servers."""
 
 import random
 from collections import Counter
@@ -14,13 +14,13 @@
 
 REQUESTS = 240
 FLOOD_S = 0.6
-"""The requests come over this time: at once, most of them would exceed the workspace's limit."""
+"""Requests are spread over this time; at once, most would exceed the workspace's limit."""
 
 in_thread = trio.to_thread.run_sync
 
 
 class Overloaded(DeploymentCase):
-    """Few slots, little queue, and more requests than both can take."""
+    """Few slots and short queues, with more requests than both can hold."""
 
     BACKEND_OPTIONS: Sequence[str] = ("--service-ms", "60", "--queue-limit", "0")
 
@@ -34,10 +34,10 @@
     async def flood(
         self, name: str, *, method: str, deadline_s: float, give_up_s: float | None = None
     ) -> Counter[tuple[str, str | None]]:
-        """Send many requests to all entries; some callers give up at a random time.
+        """Send many requests to all entries; with ``give_up_s``, callers give up at a random time.
 
         Returns:
-            How often each verdict was told with each code.
+            The number of answers by verdict and code.
         """
         places = cycle(entry.place for entry in self.running.entries)
         prefix = "/certificates" if method == "GET" else "/releases"
@@ -57,10 +57,10 @@
 
 class NotRunTest(Overloaded):
     def test_shed_by_the_backend_servers(self) -> None:
-        """Symptom: a hold that was refused as ``not-run`` stands in the books.
+        """A request that was refused as ``not-run`` must not have run.
 
-        Sequence: three entries fill the slots of the same backend servers, which shed what is too
-        much. Cause: a shed answer is taken at its word, so it must be the answer to this request.
+        Three entries fill the slots of the same backend servers, which shed the excess requests. An
+        entry trusts a shed answer, so it must make sure that the answer belongs to this request.
         """
 
         async def test() -> None:
@@ -72,10 +72,10 @@
         self.run_trio(test)
 
     def test_queued_at_the_entry_and_then_refused(self) -> None:
-        """Symptom: a request runs although its caller was told that it was refused.
+        """A request whose caller got a refusal from the entry's queue must not run.
 
-        Sequence: all slots are taken by slow requests; the others wait in the entries' queues until
-        their deadlines. Cause: a slot is handed to a request in the moment of its refusal.
+        Slow requests take all slots; the others wait in the queues of the entries until their
+        deadlines. The fault occurs if a slot is given to a request while it is being refused.
         """
 
         async def test() -> None:
@@ -87,10 +87,10 @@
         self.run_trio(test)
 
     def test_timed_out_at_a_backend_server_that_ignores_deadlines(self) -> None:
-        """Symptom: a timeout is told as ``not-run``, and the request runs to its end.
+        """A timeout must not be reported as ``not-run`` while the request runs to completion.
 
-        Sequence: the backend servers are slow and deaf to deadlines; the entries give up. Cause:
-        what has left may run.
+        The backend servers are slow and ignore deadlines; the entries time out. A request that was
+        sent may still run.
         """
 
         async def test() -> None:
@@ -101,10 +101,10 @@
         self.run_trio(test)
 
     def test_callers_that_give_up_at_any_moment(self) -> None:
-        """Symptom: after a cancel, another caller is given the answer that was no longer awaited.
+        """After a cancelled request, its answer must not go to another caller.
 
-        Sequence: callers close their connections while their requests wait, leave or run; others
-        follow at once. Cause: a connection goes back to its pool with an answer still to come.
+        Callers close their connections while their requests wait, are sent or run; other requests
+        follow at once. The fault occurs if a connection returns to its pool with an answer pending.
         """
 
         async def test() -> None:
@@ -119,10 +119,10 @@
 
 class DrainingTest(Overloaded):
     def test_backend_servers_that_drain_under_load(self) -> None:
-        """Symptom: what a draining backend server refused has run there.
+        """A request that a draining backend server refused must not have run there.
 
-        Sequence: all backend servers begin to drain while requests are on their way to them, and
-        come back. Cause: the refusal is only true if it bears the request's own id.
+        All backend servers start to drain while requests are in transit to them, and recover. A
+        refusal is only valid if it contains the id of the refused request.
         """
 
         async def test() -> None:
@@ -146,10 +146,10 @@
     AT_MOST_ONCE = False
 
     def test_retried_requests_that_are_refused_in_the_end(self) -> None:
-        """Symptom: a request whose last attempt was shed is told ``not-run``, but the first ran.
+        """A request whose first attempt ran must not be ``not-run`` because the last was shed.
 
-        Sequence: an attempt is reset after it ran, the retry is shed. Cause: the verdict of the
-        last attempt is not the verdict of the request.
+        An attempt is reset after it ran, and the retry is shed. The fault occurs if the verdict of
+        the last attempt is used as the verdict of the request.
         """
 
         async def test() -> None:
@@ -169,11 +169,11 @@
     BACKEND_OPTIONS = ("--service-ms", "60")
 
     def test_entry_that_stops_while_requests_arrive(self) -> None:
-        """Symptom: a caller repeats elsewhere what the stopping entry runs all the same.
+        """A request that a stopping entry refused must not run there after a retry elsewhere.
 
-        Sequence: the entry is told to stop; requests, keyed and not, go on arriving until it has
-        exited; each one refused is sent to another entry. Cause: the refusal of one copy of a key
-        does not forbid the copies that come later.
+        The entry is told to stop while keyed requests continue to arrive until it has exited; each
+        refused request is sent to another entry. The fault occurs if the refusal of one copy of a
+        key does not prevent later copies from running.
         """
 
         async def test() -> None:
@@ -208,11 +208,11 @@
     BACKEND_OPTIONS = ("--service-ms", "60", "--queue-limit", "2")
 
     def test_faults_of_all_kinds_together(self) -> None:
-        """Symptom: two faults that are harmless alone make a refusal untrue together.
+        """Faults that are harmless alone must not make a refusal false in combination.
 
-        Sequence: backend servers reset before and after running, answer bare 503s, crossed and
-        broken answers, and shed; the platform is out; an entry is killed in the middle and another
-        is paused. Cause: each fault's handling assumes that the rest works.
+        Backend servers reset connections before and after running, answer 503 without a verdict,
+        cross and truncate answers, and shed; the platform is down; one entry is killed and another
+        paused. The fault occurs if the handling of one fault assumes that everything else works.
         """
 
         async def test() -> None:
