--- a/src/wagtailpoint/daemon/api.py
+++ b/src/wagtailpoint/daemon/api.py
@@ -18,7 +18,7 @@
 
 PREFIX = "/v1/"
 JSON = b"application/json"
-READING_METHODS = ("GET", "HEAD")
+READ_METHODS = ("GET", "HEAD")
 
 Query = Mapping[str, str]
 
@@ -57,14 +57,14 @@
     return Page(refusal.status, msgspec.Raw(refusal.body()), refusal.retry_after_s)
 
 
-def bad_query(reason: str) -> Page:
+def bad_query_page(reason: str) -> Page:
     """What a page answers to a wrong query."""
     return refusal_page(
         refuse(HTTPStatus.BAD_REQUEST, RefusalCode.BAD_REQUEST, reason, BAD_REQUEST_RETRY_AFTER_S)
     )
 
 
-class OwnPages:
+class ApiRouter:
     """Serves everything under ``/v1/``."""
 
     def __init__(
@@ -96,10 +96,10 @@
         name = path.removeprefix(PREFIX)
         handler = self._pages.get(name)
         quick = self._quick.get(path.encode())
-        if request.method not in READING_METHODS or (handler is None and quick is None):
+        if request.method not in READ_METHODS or (handler is None and quick is None):
             known = sorted([*self._pages, *(key.decode()[len(PREFIX) :] for key in self._quick)])
-            expected = ", ".join(f"GET {PREFIX}{each}" for each in known)
-            page = bad_query(f"given {request.method} {path[:80]}, expected one of {expected}")
+            expected = ", ".join(f"GET {PREFIX}{page_name}" for page_name in known)
+            page = bad_query_page(f"given {request.method} {path[:80]}, expected one of {expected}")
         elif handler is not None:
             page = await handler(_parse_query(query))
         elif quick is not None:
--- a/src/wagtailpoint/daemon/probing.py
+++ b/src/wagtailpoint/daemon/backend_prober.py
@@ -12,7 +12,7 @@
 from wagtailpoint.ports.backend import BackendAddress, Backends
 
 
-class _Probed:
+class _ProbeTask:
     """A backend server with its task."""
 
     def __init__(self, *, path: str, scope: trio.CancelScope) -> None:
@@ -47,7 +47,7 @@
         self._interval_s = interval_s
         self._timeout_s = timeout_s
         self._random = random
-        self._probed: dict[BackendAddress, _Probed] = {}
+        self._tasks: dict[BackendAddress, _ProbeTask] = {}
         self._nursery: trio.Nursery | None = None
         self._config: EffectiveConfig | None = None
 
@@ -62,16 +62,16 @@
             for group in service.groups.values()
             for server in group
         }
-        for address, probed in list(self._probed.items()):
-            if paths.get(address) != probed.path:
-                probed.scope.cancel()
-                del self._probed[address]
+        for address, task in list(self._tasks.items()):
+            if paths.get(address) != task.path:
+                task.scope.cancel()
+                del self._tasks[address]
                 self._nursery.start_soon(self._backends.close, address)
         for address, path in paths.items():
-            if address not in self._probed:
-                probed = _Probed(path=path, scope=trio.CancelScope())
-                self._probed[address] = probed
-                self._nursery.start_soon(self._probe, address, probed)
+            if address not in self._tasks:
+                task = _ProbeTask(path=path, scope=trio.CancelScope())
+                self._tasks[address] = task
+                self._nursery.start_soon(self._probe, address, task)
         self._health.retain(list(paths))
 
     async def run(self) -> None:
@@ -82,11 +82,11 @@
                 self.apply(self._config)
             await trio.sleep_forever()
 
-    async def _probe(self, address: BackendAddress, probed: _Probed) -> None:
-        with probed.scope:
+    async def _probe(self, address: BackendAddress, task: _ProbeTask) -> None:
+        with task.scope:
             while True:
                 report = await self._backends.probe(
-                    address, timeout_s=self._timeout_s, path=probed.path
+                    address, timeout_s=self._timeout_s, path=task.path
                 )
                 if isinstance(report, Ok):
                     self._health.observe_report(address, report.ok_value)
--- a/src/wagtailpoint/daemon/draining.py
+++ b/src/wagtailpoint/daemon/draining.py
@@ -22,13 +22,13 @@
 
 
 def drain_status(
-    config: EffectiveConfig, held_of: Callable[[BackendServer], int]
+    config: EffectiveConfig, count_held: Callable[[BackendServer], int]
 ) -> list[DrainStatus]:
     """All drains.
 
     Args:
         config: The configuration in force.
-        held_of: Counts the slots of a backend server that this instance holds.
+        count_held: Counts the slots of a backend server that this instance holds.
     """
     servers = {
         server
@@ -36,14 +36,14 @@
         for group in service.groups.values()
         for server in group
     }
-    found = []
+    statuses = []
     for drain in config.drains.values():
         covered = sorted(server for server in servers if is_drained(server, [drain]))
-        found.append(
+        statuses.append(
             DrainStatus(
                 name=drain.name,
                 backend_servers=[str(server.address) for server in covered],
-                in_flight=sum(held_of(server) for server in covered),
+                in_flight=sum(count_held(server) for server in covered),
             )
         )
-    return found
+    return statuses
--- a/src/wagtailpoint/daemon/entry_pages.py
+++ b/src/wagtailpoint/daemon/entry_pages.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from http import HTTPStatus
 
-from wagtailpoint.daemon.metrics_page import measure, metrics_text
+from wagtailpoint.daemon.metrics_page import collect_metrics, metrics_text
 from wagtailpoint.lookup.entry_choice import EntryChoice
 from wagtailpoint.node_settings import Endpoint
 from wagtailpoint.observe.log import log_event
@@ -17,7 +17,7 @@
 """How long callers keep an answer: an instance that stops serves them for so long, and one that is
 lost costs them failed connections for so long. Each lookup takes about 1 ms of processor time."""
 
-MOST_NAMED = 64
+MAX_ADDRESSES = 64
 """Callers accept no more addresses in an answer."""
 
 JSON = ((b"content-type", b"application/json"),)
@@ -73,14 +73,14 @@
 
     async def handle_metrics(self, request: IncomingRequest, caller: CallerExchange) -> None:
         """Answer with all metrics as text."""
-        measured = await measure(self._metrics, self._peers.counts, self._gauges())
+        snapshot = await collect_metrics(self._metrics, self._peers.counts, self._gauges())
         headers = ((b"content-type", CONTENT_TYPE),)
-        await caller.reply(HTTPStatus.OK, headers, metrics_text(measured))
+        await caller.reply(HTTPStatus.OK, headers, metrics_text(snapshot))
 
     def entries_for(self, question: LookupQuestion) -> list[Endpoint]:
         """The entries that a caller shall use: the nearest that there are."""
         nearest = self._entries.nearest(question.failure_domain, question.region)
-        return [Endpoint(each.address, each.port) for each in nearest[:MOST_NAMED]]
+        return [Endpoint(entry.address, entry.port) for entry in nearest[:MAX_ADDRESSES]]
 
     def _ttl_s(self) -> float:
         return min(LOOKUP_TTL_S, self._lookup_ttl_max_s())
--- a/src/wagtailpoint/daemon/entry_role.py
+++ b/src/wagtailpoint/daemon/entry_role.py
@@ -31,11 +31,11 @@
         self._membership = membership
         own = membership.own
         self._choice = EntryChoice(members=membership.members)
-        self._around = NearbyEntryCounts(
+        self._nearby_counts = NearbyEntryCounts(
             choice=self._choice, region=own.region, failure_domain=own.failure_domain
         )
         self._address = own.address
-        self._part = BoundShare(
+        self._bound_share = BoundShare(
             instances=instances,
             entries=InstanceCount(alive=lambda: len(self._choice.all), registered=registered),
             is_entry=self.is_entry,
@@ -47,9 +47,9 @@
         return self._choice
 
     @property
-    def around(self) -> NearbyEntryCounts:
+    def nearby_counts(self) -> NearbyEntryCounts:
         """How many there are around this instance."""
-        return self._around
+        return self._nearby_counts
 
     def is_entry(self) -> bool:
         """Whether callers are told to use this instance."""
@@ -57,7 +57,7 @@
 
     def bound_divisor(self) -> float:
         """What to divide a bound of all instances by for this one's part; at least 1."""
-        return self._part.divisor
+        return self._bound_share.divisor
 
     async def report_load(self) -> None:
         """Tell the others how busy this instance is, until cancelled."""
--- a/src/wagtailpoint/daemon/even_part.py
+++ b/src/wagtailpoint/daemon/equal_fraction.py
@@ -3,7 +3,7 @@
 from wagtailpoint.config.model import EffectiveConfig
 
 
-def even_part(config: EffectiveConfig | None) -> float:
+def equal_fraction(config: EffectiveConfig | None) -> float:
     """One of as many parts as the regions plan for; no more instances may run at a time."""
     if config is None:
         return 0.0
--- a/src/wagtailpoint/daemon/followers.py
+++ b/src/wagtailpoint/daemon/followers.py
@@ -35,7 +35,7 @@
         on_change: Called after every change.
     """
 
-    def follower(
+    def make_follower(
         kind: str,
         apply: Callable[[KindState], None],
         *,
@@ -60,10 +60,16 @@
         return made
 
     followers = [
-        follower(CONFIG_KIND, lambda told: state.apply_config(told.objects)),
-        follower(SERVERS_KIND, lambda told: state.apply_servers(told.objects), can_expire=True),
-        follower(EVACUATIONS_KIND, lambda told: state.apply_evacuations(told.objects)),
+        make_follower(CONFIG_KIND, lambda kind_state: state.apply_config(kind_state.objects)),
+        make_follower(
+            SERVERS_KIND,
+            lambda kind_state: state.apply_servers(kind_state.objects),
+            can_expire=True,
+        ),
+        make_follower(
+            EVACUATIONS_KIND, lambda kind_state: state.apply_evacuations(kind_state.objects)
+        ),
         # Not checked: peers tell it, too, and each kind more makes the check of the others rarer.
-        follower(QUARANTINE_KIND, quarantine.take_stored, is_checked=False),
+        make_follower(QUARANTINE_KIND, quarantine.apply_listing, is_checked=False),
     ]
-    return {each.kind: each for each in followers}
+    return {follower.kind: follower for follower in followers}
--- a/src/wagtailpoint/daemon/stopping.py
+++ b/src/wagtailpoint/daemon/graceful_stop.py
@@ -10,8 +10,8 @@
 from wagtailpoint.observe.log import log_event
 from wagtailpoint.observe.timeline import Timeline
 
-DUTY_TIMEOUT_S = 5.0
-SPREAD_S = 1.5
+CLEANUP_TIMEOUT_S = 5.0
+LEAVE_SPREAD_S = 1.5
 """How long the word that an instance leaves takes to reach all lookups, beside the lookups' TTL."""
 
 
@@ -37,11 +37,11 @@
         self._timeline = timeline
         self._lookup_ttl_s = lookup_ttl_s
         self._drain_timeout_s = drain_timeout_s
-        self._last_duties: list[Callable[[], Awaitable[None]]] = []
+        self._cleanups: list[Callable[[], Awaitable[None]]] = []
 
-    def at_end(self, duty: Callable[[], Awaitable[None]]) -> None:
+    def add_cleanup(self, cleanup: Callable[[], Awaitable[None]]) -> None:
         """Call ``duty`` when no request is open any more."""
-        self._last_duties.append(duty)
+        self._cleanups.append(cleanup)
 
     async def wait(self) -> None:
         """Wait for SIGTERM or SIGINT, then see the instance through to its end."""
@@ -54,7 +54,7 @@
     async def _stop(self) -> None:
         self._timeline.record("leaving")
         self._membership.leave()
-        await trio.sleep(self._lookup_ttl_s + SPREAD_S)
+        await trio.sleep(self._lookup_ttl_s + LEAVE_SPREAD_S)
         self._gate.close()
         self._timeline.record("refusing-new-requests", open=self._gate.open_requests)
         log_event("stop-drains", open_requests=self._gate.open_requests)
@@ -62,9 +62,9 @@
             await self._gate.wait_idle()
         if scope.cancelled_caught:
             log_event("stop-cuts", level="ERROR", open_requests=self._gate.open_requests)
-        for duty in self._last_duties:
+        for cleanup in self._cleanups:
             # The platform may be out; what could not be given back ends with its lease.
-            with trio.move_on_after(DUTY_TIMEOUT_S):
-                await duty()
+            with trio.move_on_after(CLEANUP_TIMEOUT_S):
+                await cleanup()
         self._membership.announce_exit()
         log_event("stopped")
--- a/src/wagtailpoint/daemon/instance.py
+++ b/src/wagtailpoint/daemon/instance.py
@@ -16,18 +16,18 @@
 from wagtailpoint.config.packed import pack
 from wagtailpoint.config.store import ConfigStore
 from wagtailpoint.config.watcher import ConfigWatcher
-from wagtailpoint.daemon.api import PREFIX, OwnPages
+from wagtailpoint.daemon.api import PREFIX, ApiRouter
+from wagtailpoint.daemon.backend_prober import BackendProber
 from wagtailpoint.daemon.config_state import ConfigState
-from wagtailpoint.daemon.even_part import even_part
+from wagtailpoint.daemon.equal_fraction import equal_fraction
+from wagtailpoint.daemon.graceful_stop import GracefulStop
 from wagtailpoint.daemon.instance_list import InstanceList
 from wagtailpoint.daemon.lookups import Lookups
-from wagtailpoint.daemon.moving import Moving
-from wagtailpoint.daemon.observing import RequestObserver
+from wagtailpoint.daemon.move_tasks import MoveTasks
 from wagtailpoint.daemon.pages import InstancePages
-from wagtailpoint.daemon.probing import BackendProber
+from wagtailpoint.daemon.request_observer import RequestObserver
 from wagtailpoint.daemon.servers import ConfiguredServers
 from wagtailpoint.daemon.shared_quarantine import SharedQuarantine
-from wagtailpoint.daemon.stopping import GracefulStop
 from wagtailpoint.entry.forwarding import Forwarder
 from wagtailpoint.entry.gate import RequestGate
 from wagtailpoint.entry.plan import Plan
@@ -55,14 +55,14 @@
 
 TIMELINE_EVENTS = 10_000
 REQUEST_EVENTS = 10_000
-MOST_KEPT_ANSWER_BYTES = 64 * 1024
-RETRIES_ALWAYS_ALLOWED_PER_S = 1.0
+MAX_KEPT_ANSWER_BYTES = 64 * 1024
+MIN_RETRIES_PER_S = 1.0
 WATCHERS_PER_FAILURE_DOMAIN = 1
-PROBES_PER_BACKEND_SERVER_S = 150.0
+MAX_PROBES_PER_S = 150.0
 """Of all instances together: each more would cost the backend server and the instances."""
 FACTS_INTERVAL_S = 0.25
-CLAIMS_CLEANING_S = 10.0
-CLAIM_EPOCHS = 3
+CLAIMS_CLEANUP_INTERVAL_S = 10.0
+CLAIM_RETENTION_EPOCHS = 3
 CONNECTIONS_PER_REQUEST = 2
 """Connections for each open request that the limits allow: most callers' connections are idle."""
 
@@ -76,18 +76,20 @@
         timings = settings.timings
         self._clock = SystemClock()
         incarnation = new_incarnation()
-        hybrid = HybridClock(wall=self._clock.wall)
+        hybrid_clock = HybridClock(wall=self._clock.wall)
         name = f"{settings.address}:{settings.port}"
         self._metrics = Metrics()
-        self._timeline = Timeline(clock=hybrid, instance=name, most_events=TIMELINE_EVENTS)
-        self._requests = Timeline(clock=hybrid, instance=name, most_events=REQUEST_EVENTS)
+        self._timeline = Timeline(clock=hybrid_clock, instance=name, most_events=TIMELINE_EVENTS)
+        self._request_timeline = Timeline(
+            clock=hybrid_clock, instance=name, most_events=REQUEST_EVENTS
+        )
         self._platform = HttpPlatform(
-            addresses=[(each.address, each.port) for each in settings.platform],
+            addresses=[(replica.address, replica.port) for replica in settings.platform],
             timeout_s=timings.platform_timeout_s,
         )
         self._peers = NngPeers(
             address=PeerAddress(settings.address, settings.peer_port, int(incarnation, 16)),
-            hybrid_clock=hybrid,
+            hybrid_clock=hybrid_clock,
             clock=self._clock,
         )
         self._instance_list = InstanceList(
@@ -98,7 +100,7 @@
             peers=self._peers,
             clock=self._clock,
             random=Random(),
-            seeds=[PeerAddress(each.address, each.peer_port) for each in settings.peers],
+            seeds=[PeerAddress(peer.address, peer.peer_port) for peer in settings.peers],
             hints=self._instance_list.addresses,
             settings=MembershipSettings(
                 heartbeat_interval_s=timings.heartbeat_interval_s,
@@ -135,7 +137,7 @@
         self._slots = SlotPool(
             clock=self._clock,
             max_queued=settings.limits.queued_requests,
-            limit_fraction=lambda: even_part(self._config.effective),
+            limit_fraction=lambda: equal_fraction(self._config.effective),
         )
         self._gate = RequestGate(max_open_requests=settings.limits.open_requests)
         self._keys = KeyStore(
@@ -143,22 +145,22 @@
             clock=self._clock,
             epoch_s=timings.epoch_s,
             max_keys=settings.limits.keys,
-            max_answer_bytes=MOST_KEPT_ANSWER_BYTES,
+            max_answer_bytes=MAX_KEPT_ANSWER_BYTES,
         )
         self._claims = Claims(
             platform=self._platform,
             clock=self._clock,
             incarnation=incarnation,
             address=name,
-            retention_s=CLAIM_EPOCHS * timings.epoch_s,
+            retention_s=CLAIM_RETENTION_EPOCHS * timings.epoch_s,
         )
         self._moves = MoveBoard(
             clock=self._clock,
             timeline=self._timeline,
             cap_fraction=self._cap_fraction,
         )
-        self._moving = self._make_moving()
-        self._budgets: dict[str, RetryBudget] = {}
+        self._move_tasks = self._make_move_tasks()
+        self._retry_budgets: dict[str, RetryBudget] = {}
         self._entry = self._make_entry()
         self._pages = self._make_pages()
         self._stop = GracefulStop(
@@ -168,7 +170,7 @@
             lookup_ttl_s=timings.lookup_ttl_s,
             drain_timeout_s=timings.drain_timeout_s,
         )
-        self._config.follow(self._apply)
+        self._config.follow(self._apply_config)
 
     async def run(self) -> None:
         """Run until a graceful stop has ended."""
@@ -199,8 +201,8 @@
             self._watcher.run,
             self._prober.run,
             self._quarantine.run,
-            self._quarantine.read,
-            self._moving.run,
+            self._quarantine.poll,
+            self._move_tasks.run,
             self._publish_facts,
             self._clean_claims,
         ):
@@ -221,10 +223,10 @@
         self._config.offer(snapshot, source="peer")
         self._watcher.learn(snapshot)
 
-    def _apply(self, config: EffectiveConfig) -> None:
+    def _apply_config(self, config: EffectiveConfig) -> None:
         self._lookups.apply(config)
         self._prober.apply(config)
-        self._moving.apply(config)
+        self._move_tasks.apply(config)
         state = self._membership.own.state
         self._membership.publish(
             state="live" if state == "starting" else state, config_version=config.version
@@ -232,7 +234,7 @@
 
     def _cap_fraction(self) -> float:
         """The part of every move's cap that this instance may spend."""
-        return even_part(self._config.effective)
+        return equal_fraction(self._config.effective)
 
     def _locate(self, incarnation: str) -> PeerAddress | None:
         """Where an incarnation is heard, if it is believed to be alive."""
@@ -246,15 +248,15 @@
             None,
         )
 
-    def _budget(self, plan: Plan) -> RetryBudget:
-        budget = self._budgets.get(plan.service.name)
+    def _retry_budget(self, plan: Plan) -> RetryBudget:
+        budget = self._retry_budgets.get(plan.service.name)
         if budget is None:
             budget = RetryBudget(
                 clock=self._clock,
                 ratio=plan.service.retry_ratio,
-                minimum_per_s=RETRIES_ALWAYS_ALLOWED_PER_S,
+                minimum_per_s=MIN_RETRIES_PER_S,
             )
-            self._budgets[plan.service.name] = budget
+            self._retry_budgets[plan.service.name] = budget
         return budget
 
     async def _publish_facts(self) -> None:
@@ -265,12 +267,12 @@
                 self._settings.failure_domain, WATCHERS_PER_FAILURE_DOMAIN
             )
             own = self._membership.own
-            self._watcher.watching = any(each.address == own.address for each in watchers)
+            self._watcher.watching = any(member.address == own.address for member in watchers)
             await trio.sleep(FACTS_INTERVAL_S)
 
     def _probe_interval_s(self) -> float:
         instances = len(self._membership.members())
-        return max(self._settings.timings.probe_interval_s, instances / PROBES_PER_BACKEND_SERVER_S)
+        return max(self._settings.timings.probe_interval_s, instances / MAX_PROBES_PER_S)
 
     def _load(self) -> float:
         if not self._keys.accepts_new_keys:
@@ -279,7 +281,7 @@
 
     async def _clean_claims(self) -> None:
         while True:
-            await trio.sleep(CLAIMS_CLEANING_S)
+            await trio.sleep(CLAIMS_CLEANUP_INTERVAL_S)
             await self._claims.remove_expired()
 
     def _own_fact(self, incarnation: str) -> Fact:
@@ -304,7 +306,7 @@
             failure_domain=self._settings.failure_domain,
         )
         observer = RequestObserver(
-            metrics=self._metrics, timeline=self._requests, clock=self._clock
+            metrics=self._metrics, timeline=self._request_timeline, clock=self._clock
         )
         return EntryService(
             config=lambda: self._config.effective,
@@ -313,7 +315,7 @@
                 backends=self._backends,
                 slots=self._slots,
                 servers=servers,
-                budget=self._budget,
+                budget=self._retry_budget,
                 quarantine=self._quarantine.local,
                 observer=observer,
             ),
@@ -328,7 +330,7 @@
             max_body_bytes=self._settings.limits.request_body_bytes,
         )
 
-    def _make_moving(self) -> Moving:
+    def _make_move_tasks(self) -> MoveTasks:
         lease = Lease(
             platform=self._platform,
             clock=self._clock,
@@ -336,7 +338,7 @@
             own=Holder(*self._peers.address),
             lease_s=self._settings.timings.moves_lease_s,
         )
-        return Moving(
+        return MoveTasks(
             board=self._moves,
             platform=self._platform,
             peers=self._peers,
@@ -344,11 +346,11 @@
             health=self._health,
             clock=self._clock,
             lease=lease,
-            watching=lambda: self._watcher.watching,
+            is_watching=lambda: self._watcher.watching,
             timings=self._settings.timings,
         )
 
-    def _make_pages(self) -> OwnPages:
+    def _make_pages(self) -> ApiRouter:
         pages = InstancePages(
             config=self._config,
             membership=self._membership,
@@ -361,9 +363,9 @@
             moves=self._moves,
             quarantine=self._quarantine,
             metrics=self._metrics,
-            timelines=(self._timeline, self._requests),
+            timelines=(self._timeline, self._request_timeline),
         )
-        return OwnPages(pages=pages.handlers, quick=pages.quick)
+        return ApiRouter(pages=pages.handlers, quick=pages.quick)
 
 
 async def run_instance(settings: Settings) -> None:
--- a/src/wagtailpoint/daemon/instance_list.py
+++ b/src/wagtailpoint/daemon/instance_list.py
@@ -9,8 +9,8 @@
 from wagtailpoint.ports.peers import PeerAddress
 from wagtailpoint.ports.platform import ListedInstance, Platform
 
-INTERVAL_S = 30.0
-FIRST_INTERVAL_S = 2.0
+POLL_INTERVAL_S = 30.0
+INITIAL_POLL_INTERVAL_S = 2.0
 
 
 class InstanceList:
@@ -31,7 +31,7 @@
 
     def addresses(self) -> Sequence[PeerAddress]:
         """Where to look for members."""
-        return [PeerAddress(each.address, self._peer_port) for each in self._listed]
+        return [PeerAddress(instance.address, self._peer_port) for instance in self._listed]
 
     async def run(self) -> None:
         """Read the list until cancelled."""
@@ -39,5 +39,5 @@
             listed = await self._platform.instances()
             if isinstance(listed, Ok):
                 self._listed = listed.ok_value
-            interval_s = INTERVAL_S if self._listed else FIRST_INTERVAL_S
+            interval_s = POLL_INTERVAL_S if self._listed else INITIAL_POLL_INTERVAL_S
             await trio.sleep(interval_s * self._random.uniform(0.5, 1.5))
--- a/src/wagtailpoint/daemon/lookups.py
+++ b/src/wagtailpoint/daemon/lookups.py
@@ -35,7 +35,7 @@
 
     def apply(self, config: EffectiveConfig) -> None:
         """Follow the configuration that was prepared last."""
-        self._warn_if_unplaced(config)
+        self._warn_if_unconfigured(config)
         self._table = LookupTable(
             config=config,
             own_failure_domain=self._failure_domain,
@@ -50,7 +50,7 @@
             return Err(_not_ready())
         return self._table.answer(workspace=workspace, address=address)
 
-    def _warn_if_unplaced(self, config: EffectiveConfig) -> None:
+    def _warn_if_unconfigured(self, config: EffectiveConfig) -> None:
         """Log when the configuration does not know where this instance runs.
 
         Nobody would be told to use it then, and it would look healthy and idle.
--- a/src/wagtailpoint/daemon/main.py
+++ b/src/wagtailpoint/daemon/main.py
@@ -14,7 +14,7 @@
 from wagtailpoint.platform.settings import SETTINGS_VARIABLE, read_node_settings
 from wagtailpoint.settings import read_settings
 
-EXIT_WRONG_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 
 
 @click.command()
@@ -47,7 +47,7 @@
 
     settings = read_settings(settings_file)
     if isinstance(settings, Err):
-        _exit_for(settings.err_value)
+        _exit_with_mistakes(settings.err_value)
     value = settings.ok_value
     if check:
         click.echo(f"{settings_file}: no mistakes")
@@ -61,7 +61,7 @@
 
     settings = read_node_settings(settings_file)
     if isinstance(settings, Err):
-        _exit_for(settings.err_value)
+        _exit_with_mistakes(settings.err_value)
     if check:
         click.echo(f"{settings_file}: no mistakes")
         return
@@ -69,10 +69,10 @@
     trio.run(run_steering_instance, settings.ok_value, settings_file)
 
 
-def _exit_for(invalid: InvalidInput) -> NoReturn:
+def _exit_with_mistakes(invalid: InvalidInput) -> NoReturn:
     for mistake in invalid.mistakes:
         click.echo(str(mistake), err=True)
-    sys.exit(EXIT_WRONG_SETTINGS)
+    sys.exit(EXIT_INVALID_SETTINGS)
 
 
 if __name__ == "__main__":
--- a/src/wagtailpoint/daemon/metrics_page.py
+++ b/src/wagtailpoint/daemon/metrics_page.py
@@ -10,7 +10,7 @@
 from wagtailpoint.ports.peers import PeerCounts, Traffic
 
 
-class Measured(NamedTuple):
+class MetricsSnapshot(NamedTuple):
     """Everything that is measured.
 
     Attributes:
@@ -26,22 +26,24 @@
     gauges: Mapping[str, float]
 
 
-async def measure(metrics: Metrics, peers: PeerCounts, gauges: Mapping[str, float]) -> Measured:
+async def collect_metrics(
+    metrics: Metrics, peers: PeerCounts, gauges: Mapping[str, float]
+) -> MetricsSnapshot:
     """Gather everything, without keeping the callers waiting for the percentiles of all."""
     latencies = []
-    for each in metrics.latencies():
-        latencies.append(each)
+    for latency in metrics.latencies():
+        latencies.append(latency)
         await trio.lowlevel.checkpoint()
-    return Measured(dict(metrics.counts), latencies, peers, gauges)
+    return MetricsSnapshot(dict(metrics.counts), latencies, peers, gauges)
 
 
-def metrics_json(measured: Measured) -> dict[str, Any]:
+def metrics_json(snapshot: MetricsSnapshot) -> dict[str, Any]:
     """Everything that is measured, as a JSON value."""
-    peers = measured.peers
+    peers = snapshot.peers
     return {
-        "gauges": dict(measured.gauges),
-        "counts": dict(measured.counts),
-        "latencies": [{**key._asdict(), **summary} for key, summary in measured.latencies],
+        "gauges": dict(snapshot.gauges),
+        "counts": dict(snapshot.counts),
+        "latencies": [{**key._asdict(), **summary} for key, summary in snapshot.latencies],
         "peers": {
             "sent": _traffic_fields(peers.sent),
             "received": _traffic_fields(peers.received),
@@ -50,16 +52,16 @@
     }
 
 
-def metrics_text(measured: Measured) -> bytes:
+def metrics_text(snapshot: MetricsSnapshot) -> bytes:
     """Everything that is measured, for Prometheus."""
     families = [
         Family(f"wagtailpoint_{name}", "gauge", "Now.", [Sample({}, value)])
-        for name, value in measured.gauges.items()
+        for name, value in snapshot.gauges.items()
     ]
-    counts = [Sample({"event": name}, number) for name, number in measured.counts.items()]
+    counts = [Sample({"event": name}, number) for name, number in snapshot.counts.items()]
     families.append(Family("wagtailpoint_events_total", "counter", "Events by name.", counts))
-    families += _latency_families(measured.latencies)
-    families += _peer_families(measured.peers)
+    families += _latency_families(snapshot.latencies)
+    families += _peer_families(snapshot.peers)
     return format_text(families)
 
 
--- a/src/wagtailpoint/daemon/moving.py
+++ b/src/wagtailpoint/daemon/move_tasks.py
@@ -18,10 +18,10 @@
 from wagtailpoint.ports.platform import Platform
 from wagtailpoint.settings import Timings
 
-CLEANING_S: Final = 10.0
+CLEANUP_INTERVAL_S: Final = 10.0
 
 
-class Moving:
+class MoveTasks:
     """Runs everything about moves."""
 
     def __init__(
@@ -34,7 +34,7 @@
         health: HealthBoard,
         clock: Clock,
         lease: WriterLease,
-        watching: Callable[[], bool],
+        is_watching: Callable[[], bool],
         timings: Timings,
     ) -> None:
         """Put it together.
@@ -47,7 +47,7 @@
             health: Has the backend servers' reports.
             clock: Of this instance.
             lease: Makes one instance the only writer.
-            watching: Whether this instance is one of the few of its failure domain that follow
+            is_watching: Whether this instance is one of the few of its failure domain that follow
                 the platform.
             timings: Of the settings.
         """
@@ -56,12 +56,12 @@
         self._interval_s = timings.move_interval_s
         self._config: EffectiveConfig | None = None
         self._board = board
-        self._newsroom = MoveGossip(
+        self._gossip = MoveGossip(
             platform=platform,
             peers=peers,
             board=board,
             others=self._membership.others,
-            is_watching=watching,
+            is_watching=is_watching,
             wait_s=timings.watch_wait_s,
             random=Random(),
         )
@@ -72,8 +72,8 @@
             lease=lease,
             lease_s=timings.moves_lease_s,
             own=peers.address,
-            is_eligible=lambda: watching() and membership.own.state == "live",
-            count_receiving_servers=self._receiving,
+            is_eligible=lambda: is_watching() and membership.own.state == "live",
+            count_receiving_servers=self._count_receiving_servers,
         )
         self._cleaner = ProgressCleaner(
             platform=platform, board=board, is_writing=lambda: self._writer.is_writing
@@ -87,7 +87,7 @@
     async def run(self) -> None:
         """Run until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._newsroom.run)
+            nursery.start_soon(self._gossip.run)
             nursery.start_soon(self._write)
             nursery.start_soon(self._clean)
 
@@ -96,15 +96,15 @@
 
     async def _clean(self) -> None:
         while True:
-            await trio.sleep(CLEANING_S)
+            await trio.sleep(CLEANUP_INTERVAL_S)
             await self._cleaner.step()
 
-    def _receiving(self, move: Move) -> tuple[int, int]:
+    def _count_receiving_servers(self, move: Move) -> tuple[int, int]:
         config = self._config
         if config is None:
             return 0, 0
         group = config.services[move.service].groups[move.to_group]
-        staying = [one for one in group if not is_drained(one, config.drains.values())]
-        reports = [self._health.report_of(server.address) for server in staying]
+        undrained = [server for server in group if not is_drained(server, config.drains.values())]
+        reports = [self._health.report_of(server.address) for server in undrained]
         cold = sum(report is not None and not report.warm for report in reports)
-        return len(staying), cold
+        return len(undrained), cold
--- a/src/wagtailpoint/daemon/pages.py
+++ b/src/wagtailpoint/daemon/pages.py
@@ -9,11 +9,18 @@
 from result import Err
 
 from wagtailpoint.admission.slots import SlotPool
-from wagtailpoint.daemon.api import Page, PageHandler, Query, QuickPage, bad_query, refusal_page
+from wagtailpoint.daemon.api import (
+    Page,
+    PageHandler,
+    Query,
+    QuickPage,
+    bad_query_page,
+    refusal_page,
+)
 from wagtailpoint.daemon.config_state import ConfigState
 from wagtailpoint.daemon.draining import drain_status
 from wagtailpoint.daemon.lookups import Lookups
-from wagtailpoint.daemon.metrics_page import measure, metrics_json, metrics_text
+from wagtailpoint.daemon.metrics_page import collect_metrics, metrics_json, metrics_text
 from wagtailpoint.daemon.shared_quarantine import SharedQuarantine
 from wagtailpoint.entry.gate import RequestGate
 from wagtailpoint.health.board import HealthBoard
@@ -26,7 +33,7 @@
 from wagtailpoint.observe.timeline import Timeline, TimelineEvent, merge_timelines
 from wagtailpoint.ports.peers import Peers
 
-EVENTS_AT_ONCE = 200
+EVENTS_PER_BATCH = 200
 
 
 class InstancePages:
@@ -79,7 +86,7 @@
         """Which entries a caller shall use."""
         workspace, address = query.get("workspace"), query.get("address")
         if not workspace or not address:
-            return bad_query(
+            return bad_query_page(
                 f"given workspace={workspace} and address={address}, expected "
                 "/v1/lookup?workspace=NAME&address=IP"
             )
@@ -111,28 +118,28 @@
 
     async def metrics(self, query: Query) -> Page:
         """Counts and latency percentiles since the start."""
-        wanted = query.get("format", "json")
-        if wanted not in ("json", "text"):
-            return bad_query(f"given format={wanted[:20]!r}, expected json or text")
-        measured = await measure(self._metrics, self._peers.counts, self._gauges())
-        if wanted == "json":
-            return Page(HTTPStatus.OK, metrics_json(measured))
-        return Page(HTTPStatus.OK, metrics_text(measured), content_type=CONTENT_TYPE)
+        format_name = query.get("format", "json")
+        if format_name not in ("json", "text"):
+            return bad_query_page(f"given format={format_name[:20]!r}, expected json or text")
+        snapshot = await collect_metrics(self._metrics, self._peers.counts, self._gauges())
+        if format_name == "json":
+            return Page(HTTPStatus.OK, metrics_json(snapshot))
+        return Page(HTTPStatus.OK, metrics_text(snapshot), content_type=CONTENT_TYPE)
 
     async def timeline(self, query: Query) -> Page:
         """The newest events of this instance."""
         try:
             since = parse_stamp(query["since"]) if "since" in query else ZERO
         except ValueError as error:
-            return bad_query(f"since: {error}")
+            return bad_query_page(f"since: {error}")
         events = merge_timelines(timeline.since(since) for timeline in self._timelines)
-        pieces = []
-        for start in range(0, len(events), EVENTS_AT_ONCE):
-            some = events[start : start + EVENTS_AT_ONCE]
-            pieces.append(msgspec.json.encode([_event_fields(event) for event in some])[1:-1])
+        batches = []
+        for start in range(0, len(events), EVENTS_PER_BATCH):
+            batch = events[start : start + EVENTS_PER_BATCH]
+            batches.append(msgspec.json.encode([_event_fields(event) for event in batch])[1:-1])
             # Thousands of events at once would keep the callers waiting for a tenth of a second.
             await trio.lowlevel.checkpoint()
-        return Page(HTTPStatus.OK, b'{"events":[' + b",".join(pieces) + b"]}")
+        return Page(HTTPStatus.OK, b'{"events":[' + b",".join(batches) + b"]}")
 
     def _drains(self) -> list[dict[str, Any]]:
         config = self._config.effective
--- a/src/wagtailpoint/daemon/processor_load.py
+++ b/src/wagtailpoint/daemon/processor_load.py
@@ -18,29 +18,29 @@
     """
 
     def __init__(self) -> None:
-        self._waits_since: float | None = None
+        self._wait_started_at: float | None = None
         self._waited_s = 0.0
-        self._read_at: float | None = None
-        self._value = 0.0
+        self._last_read_at: float | None = None
+        self._load = 0.0
 
     def before_io_wait(self, timeout: float) -> None:
         """The loop has nothing to do."""
-        self._waits_since = trio.current_time()
+        self._wait_started_at = trio.current_time()
 
     def after_io_wait(self, timeout: float) -> None:
         """The loop goes on."""
-        if self._waits_since is not None:
-            self._waited_s += trio.current_time() - self._waits_since
-            self._waits_since = None
+        if self._wait_started_at is not None:
+            self._waited_s += trio.current_time() - self._wait_started_at
+            self._wait_started_at = None
 
     def read(self) -> float:
         """From 0 (idle) to 1, averaged over some seconds; to be called from time to time."""
         now = trio.current_time()
-        if self._read_at is not None and now > self._read_at:
-            elapsed_s = now - self._read_at
-            busy = max(0.0, min(1.0, 1.0 - self._waited_s / elapsed_s))
-            half_life_s = RISE_HALF_LIFE_S if busy > self._value else FALL_HALF_LIFE_S
-            self._value += (1.0 - 0.5 ** (elapsed_s / half_life_s)) * (busy - self._value)
-        self._read_at = now
+        if self._last_read_at is not None and now > self._last_read_at:
+            elapsed_s = now - self._last_read_at
+            busy_fraction = max(0.0, min(1.0, 1.0 - self._waited_s / elapsed_s))
+            half_life_s = RISE_HALF_LIFE_S if busy_fraction > self._load else FALL_HALF_LIFE_S
+            self._load += (1.0 - 0.5 ** (elapsed_s / half_life_s)) * (busy_fraction - self._load)
+        self._last_read_at = now
         self._waited_s = 0.0
-        return self._value
+        return self._load
--- a/src/wagtailpoint/daemon/observing.py
+++ b/src/wagtailpoint/daemon/request_observer.py
@@ -12,8 +12,8 @@
 from wagtailpoint.ports.clock import Clock
 
 OK: Final = "ok"
-MOST_TARGET_CHARACTERS = 200
-MOST_ID_CHARACTERS = 100
+MAX_TARGET_CHARACTERS = 200
+MAX_ID_CHARACTERS = 100
 
 
 class RequestObserver:
@@ -98,14 +98,14 @@
     def _record(self, event: str, request: CallerRequest, **fields: FieldValue) -> None:
         self._timeline.record(
             event,
-            request_id=_short(request, names.REQUEST_ID),
-            key=_short(request, names.IDEMPOTENCY_KEY),
-            workspace=_short(request, names.WORKSPACE),
-            target=request.target[:MOST_TARGET_CHARACTERS],
+            request_id=_truncated_header(request, names.REQUEST_ID),
+            key=_truncated_header(request, names.IDEMPOTENCY_KEY),
+            workspace=_truncated_header(request, names.WORKSPACE),
+            target=request.target[:MAX_TARGET_CHARACTERS],
             **fields,
         )
 
 
-def _short(request: CallerRequest, name: bytes) -> str | None:
+def _truncated_header(request: CallerRequest, name: bytes) -> str | None:
     value = header_value(request.headers, name)
-    return None if value is None else value[:MOST_ID_CHARACTERS]
+    return None if value is None else value[:MAX_ID_CHARACTERS]
--- a/src/wagtailpoint/daemon/servers.py
+++ b/src/wagtailpoint/daemon/servers.py
@@ -17,7 +17,7 @@
 class _Group(NamedTuple):
     """A group of a service, worked out once for each configuration."""
 
-    staying: tuple[BackendServer, ...]
+    undrained: tuple[BackendServer, ...]
     nearness: Nearness
 
 
@@ -39,8 +39,8 @@
         self._metrics = metrics
         self._failure_domain = failure_domain
         self._groups: dict[tuple[str, str], _Group] = {}
-        self._groups_of: EffectiveConfig | None = None
-        self._turns = itertools.count()
+        self._groups_config: EffectiveConfig | None = None
+        self._rotations = itertools.count()
 
     def pool(self, plan: Plan) -> str:
         """The service and the groups that a request may go to, as it arrives.
@@ -48,15 +48,15 @@
         One that a move sends to its receiving side must not wait behind those that stay: the old
         group is often moved from because it is full.
         """
-        return f"{plan.service.name}/{'+'.join(self.groups_of(plan, self.route(plan)))}"
+        return f"{plan.service.name}/{'+'.join(self.groups_for(plan, self.route(plan)))}"
 
-    def groups_of(self, plan: Plan, route: MoveRoute | None) -> Sequence[str]:
+    def groups_for(self, plan: Plan, route: MoveRoute | None) -> Sequence[str]:
         """The groups that a request may go to now, each when those before are full."""
         if route is None:
-            return (self.group_of(plan),)
+            return (self.group_for(plan),)
         return tuple(filter(None, (route.to_group(), route.from_group)))
 
-    def group_of(self, plan: Plan) -> str:
+    def group_for(self, plan: Plan) -> str:
         """The group that serves a request when no move concerns it; empty if there is none."""
         config = self._config()
         if config is None or plan.service.name not in config.services:
@@ -110,21 +110,23 @@
         self, config: EffectiveConfig, service: str, name: str
     ) -> dict[BackendServer, int]:
         group = self._group(config, service, name)
-        usable = self._health.usable(group.staying)
+        usable = self._health.usable(group.undrained)
         if not usable:
             return {}
         # Of equals the first is taken: without turns an idle entry would always ask the same one.
-        turn = next(self._turns) % len(usable)
-        return group.nearness.assign_tiers(usable[turn:] + usable[:turn])
+        offset = next(self._rotations) % len(usable)
+        return group.nearness.assign_tiers(usable[offset:] + usable[:offset])
 
     def _group(self, config: EffectiveConfig, service: str, name: str) -> _Group:
-        if config is not self._groups_of:
-            self._groups, self._groups_of = {}, config
+        if config is not self._groups_config:
+            self._groups, self._groups_config = {}, config
         group = self._groups.get((service, name))
         if group is None:
             servers = config.services[service].groups.get(name, ())
             group = _Group(
-                tuple(one for one in servers if not is_drained(one, config.drains.values())),
+                tuple(
+                    server for server in servers if not is_drained(server, config.drains.values())
+                ),
                 Nearness(
                     servers=servers, regions=config.regions, failure_domain=self._failure_domain
                 ),
@@ -149,7 +151,7 @@
         it isn't refused because of a move.
         """
         self._route = self._servers.route(self._plan)
-        groups = self._servers.groups_of(self._plan, self._route)
+        groups = self._servers.groups_for(self._plan, self._route)
         self._tiers = self._servers.tiers(self._plan, groups)
         return tuple(self._tiers)
 
--- a/src/wagtailpoint/daemon/settings_file.py
+++ b/src/wagtailpoint/daemon/settings_file.py
@@ -12,10 +12,10 @@
 from wagtailpoint.node_settings import NodeSettings, ServiceBounds
 from wagtailpoint.observe.log import log_event
 
-LOOK_INTERVAL_S: Final = 2.0
+POLL_INTERVAL_S: Final = 2.0
 """How often the file is compared with what was read last: it may change without any signal."""
 
-FOLLOWED: Final = frozenset(("bounds",))
+RELOADABLE_FIELDS: Final = frozenset(("bounds",))
 """The fields that hold at once; the others (addresses, places) hold from the next start."""
 
 
@@ -39,7 +39,7 @@
         self._path = path
         self._settings = settings
         self._read = read
-        self._mistakes = ""
+        self._last_mistakes = ""
 
     @property
     def bounds(self) -> ServiceBounds:
@@ -50,32 +50,32 @@
         """Read the file again on SIGHUP and when it changed, until cancelled."""
         with trio.open_signal_receiver(signal.SIGHUP) as signals:
             while True:
-                told = False
-                with trio.move_on_after(LOOK_INTERVAL_S):
+                signalled = False
+                with trio.move_on_after(POLL_INTERVAL_S):
                     await anext(signals)
-                    told = True
-                self.look(told=told)
+                    signalled = True
+                self.reload(signalled=signalled)
 
-    def look(self, *, told: bool) -> None:
+    def reload(self, *, signalled: bool) -> None:
         """Read the file; a wrong one changes nothing.
 
         Args:
-            told: By a signal; then it is logged also if nothing changed.
+            signalled: Whether SIGHUP asked for it; then it is logged also if nothing changed.
         """
         read = self._read(self._path)
         if isinstance(read, Err):
             mistakes = str(read.err_value)
-            if told or mistakes != self._mistakes:
+            if signalled or mistakes != self._last_mistakes:
                 log_event("reload-refused", level="ERROR", error=mistakes)
-            self._mistakes = mistakes
+            self._last_mistakes = mistakes
             return
-        self._mistakes = ""
-        before, self._settings = self._settings, read.ok_value
+        self._last_mistakes = ""
+        previous, self._settings = self._settings, read.ok_value
         changed = [
             name
             for name in NodeSettings._fields
-            if getattr(before, name) != getattr(self._settings, name)
+            if getattr(previous, name) != getattr(self._settings, name)
         ]
-        if changed or told:
-            waiting = [name for name in changed if name not in FOLLOWED]
-            log_event("reload", changed=",".join(changed), from_next_start=",".join(waiting))
+        if changed or signalled:
+            deferred = [name for name in changed if name not in RELOADABLE_FIELDS]
+            log_event("reload", changed=",".join(changed), from_next_start=",".join(deferred))
--- a/src/wagtailpoint/daemon/shared_quarantine.py
+++ b/src/wagtailpoint/daemon/shared_quarantine.py
@@ -36,9 +36,9 @@
         """
         self._platform = platform
         self._random = random
-        news = CrashBroadcaster(peers=peers, others=membership.others)
-        self._local = Quarantine(others=news)
-        news.listen(self._local)
+        broadcaster = CrashBroadcaster(peers=peers, others=membership.others)
+        self._local = Quarantine(others=broadcaster)
+        broadcaster.listen(self._local)
         self._stored = StoredQuarantine(
             platform=platform,
             quarantine=self._local,
@@ -59,7 +59,7 @@
             "quarantined_requests": len(self._local.stored) + len(self._local.unstored),
         }
 
-    def take_stored(self, state: KindState) -> None:
+    def apply_listing(self, state: KindState) -> None:
         """Take in what the store lists."""
         self._stored.apply_listing(state)
 
@@ -67,12 +67,12 @@
         """Keep the store up to date until cancelled."""
         await self._stored.run()
 
-    async def read(self) -> None:
+    async def poll(self) -> None:
         """Read the store now and then until cancelled, where nobody else follows it."""
         while True:
             listing = await self._platform.list(kind=KIND)
             if isinstance(listing, Ok):
-                self.take_stored(state_from_listing(listing.ok_value))
+                self.apply_listing(state_from_listing(listing.ok_value))
             else:
                 log_event("quarantine-unread", level="WARNING", error=listing.err_value)
             await trio.sleep(READ_INTERVAL_S * self._random.uniform(0.8, 1.2))
--- a/src/wagtailpoint/daemon/steering.py
+++ b/src/wagtailpoint/daemon/steering.py
@@ -56,12 +56,12 @@
 """The longest wait for an answer of the store; it answers in 4 ms, and 100 times slower when it is
 in trouble. A call that a silent store has swallowed is given up soon after the store's return."""
 
-CALLERS_PART = 0.7
+CALLERS_FRACTION = 0.7
 """The part of the file descriptors that callers may use; the rest is for backend servers."""
 
 RESERVED_DESCRIPTORS = 260
-PAGE_CONNECTIONS = 200
-STOP_SERVES_S = 4.0
+MAX_PAGE_CONNECTIONS = 200
+MIN_STOP_SERVING_S = 4.0
 """After SIGTERM callers are still served for so long: twice what a lookup is kept, since some of
 them keep one longer."""
 
@@ -104,7 +104,7 @@
             peers=settings.peers,
             random=self._random,
         )
-        seeds = [PeerAddress(each.address, each.port) for each in settings.seeds]
+        seeds = [PeerAddress(seed.address, seed.port) for seed in settings.seeds]
         self._membership = Membership(
             own=Fact(
                 address=settings.callers.address,
@@ -124,7 +124,7 @@
             settings=MembershipSettings(urgent_load_step=URGENT_LOAD_STEP),
         )
         self._instance_count = InstanceCount(
-            alive=self._alive, registered=lambda: self._registration.count
+            alive=self._count_alive, registered=lambda: self._registration.count
         )
         self._role = EntryRole(
             membership=self._membership,
@@ -141,9 +141,9 @@
             random=self._random,
         )
         self._fleet = Fleet(region_of=settings.region_of)
-        self._gone: list[ServerStart] = []
-        self._some_gone = trio.Event()
-        self._state = StoreState(fleet=self._fleet, on_gone=self._note_gone)
+        self._removed: list[ServerStart] = []
+        self._some_removed = trio.Event()
+        self._state = StoreState(fleet=self._fleet, on_removed=self._record_removed)
         self._workspaces = WorkspaceRules(
             state=self._state,
             bounds=lambda: self._settings_file.bounds,
@@ -169,7 +169,7 @@
             random=self._random,
             state=self._state,
             quarantine=self._quarantine,
-            on_change=self._note_change,
+            on_change=self._on_change,
         )
         self._exchange.set_followers(self._followers)
         self._sharing = WatchSharing(
@@ -178,7 +178,9 @@
             followers=self._followers,
             freshness=self._workspaces.freshness,
         )
-        self._workspaces.prove(self._followers[CONFIG_KIND], is_watcher=self._sharing.is_watcher)
+        self._workspaces.set_follower(
+            self._followers[CONFIG_KIND], is_watcher=self._sharing.is_watcher
+        )
         self._distances = Distances(
             failure_domain=settings.failure_domain,
             region=settings.region,
@@ -235,7 +237,7 @@
                         is_entry=self._role.is_entry,
                         random=self._random,
                     ),
-                    self._clean_gone,
+                    self._clean_removed,
                     self._role.report_load,
                     self._settings_file.run,
                 ]
@@ -258,15 +260,15 @@
                 count_senders=ColdSenders(
                     own=self._settings.callers.address,
                     members=self._membership.members,
-                    instances=self._instances,
+                    instances=self._count_instances,
                 ).count_senders,
             ),
-            cached_fraction=CachedFraction(fleet=self._fleet, entries=self._role.around),
+            cached_fraction=CachedFraction(fleet=self._fleet, entries=self._role.nearby_counts),
             mix=RegionMix(
                 max_shift=lambda: self._settings_file.bounds.region_shift_max,
                 random=self._random,
             ),
-            entries=self._role.around,
+            entries=self._role.nearby_counts,
         )
 
     def _make_dispatcher(self) -> Dispatcher:
@@ -291,22 +293,22 @@
         )
 
     def _make_servers(self) -> list[CallerServer]:
-        def server(endpoint: Endpoint, handler: RequestHandler, most: int) -> CallerServer:
+        def server(endpoint: Endpoint, handler: RequestHandler, limit: int) -> CallerServer:
             return CallerServer(
                 endpoint=endpoint,
                 handler=handler,
                 bounds=self._bounds,
                 is_leaving=lambda: self._leaving,
-                max_connections=most,
+                max_connections=limit,
             )
 
         settings = self._settings
-        most = int(CALLERS_PART * (settings.most_descriptors - RESERVED_DESCRIPTORS))
+        max_callers = int(CALLERS_FRACTION * (settings.most_descriptors - RESERVED_DESCRIPTORS))
         return [
-            server(settings.callers, self._dispatcher.handle, most),
-            server(settings.lookups, self._pages.handle, PAGE_CONNECTIONS),
-            server(settings.readiness, self._pages.handle, PAGE_CONNECTIONS),
-            server(settings.metrics, self._pages.handle_metrics, PAGE_CONNECTIONS),
+            server(settings.callers, self._dispatcher.handle, max_callers),
+            server(settings.lookups, self._pages.handle, MAX_PAGE_CONNECTIONS),
+            server(settings.readiness, self._pages.handle, MAX_PAGE_CONNECTIONS),
+            server(settings.metrics, self._pages.handle_metrics, MAX_PAGE_CONNECTIONS),
         ]
 
     def _cold_bound(self) -> ColdBound:
@@ -321,15 +323,15 @@
         table = self._state.table
         return table.bounds if table is not None else DEFAULT_CALLER_BOUNDS
 
-    def _alive(self) -> int:
+    def _count_alive(self) -> int:
         return sum(member.state != "dead" for member in self._membership.members())
 
-    def _instances(self) -> int:
+    def _count_instances(self) -> int:
         """How many instances share what is bounded for all together."""
         return self._instance_count.value
 
     def _is_alone(self) -> bool:
-        return self._alive() <= 1
+        return self._count_alive() <= 1
 
     def _is_ready(self) -> bool:
         known = all(follower.has_state for follower in self._followers.values())
@@ -341,49 +343,51 @@
             "caller_connections": self._servers[0].connections,
             "backend_servers": len(self._fleet.entries),
             "unusable_server_entries": self._state.unusable_entries,
-            "instances": self._instances(),
+            "instances": self._count_instances(),
             "entries": len(self._role.choice.all),
             "load": self._membership.own.load,
             **self._quarantine.gauges,
             **self._workspaces.gauges,
-            "watching": all(each.is_watching for each in self._followers.values()),
+            "watching": all(follower.is_watching for follower in self._followers.values()),
             "config_version": self._state.table.version if self._state.table else 0,
         }
 
-    def _note_change(self) -> None:
+    def _on_change(self) -> None:
         self._sharing.answer_waiting()
-        self._workspaces.note_change()
+        self._workspaces.record_change()
         if self._membership.own.state == "starting" and self._is_ready():
             self._membership.publish(state="live")
             log_event("ready", backend_servers=len(self._fleet.entries))
 
-    def _note_gone(self, start: ServerStart) -> None:
-        self._gone.append(start)
-        self._some_gone.set()
+    def _record_removed(self, start: ServerStart) -> None:
+        self._removed.append(start)
+        self._some_removed.set()
 
-    async def _clean_gone(self) -> None:
+    async def _clean_removed(self) -> None:
         while True:
-            if not self._gone:
-                self._some_gone = trio.Event()
-                await self._some_gone.wait()
-            gone, self._gone[:] = list(self._gone), []
-            for start in gone:
+            if not self._removed:
+                self._some_removed = trio.Event()
+                await self._some_removed.wait()
+            removed, self._removed[:] = list(self._removed), []
+            for start in removed:
                 self._placement.remove(start)
                 await self._pool.close(start)
 
     async def _stop(self) -> None:
         """Leave the lookups first, serve who still comes, then end without cutting a request."""
-        began = trio.current_time()
-        end = began + self._settings_file.bounds.grace_s - STOP_MARGIN_S
+        started_at = trio.current_time()
+        deadline = started_at + self._settings_file.bounds.grace_s - STOP_MARGIN_S
         self._leaving = True
         self._membership.leave()
         with trio.move_on_after(WITHDRAW_TIMEOUT_S):
             await self._registration.withdraw()
-            await self._workspaces.give_up()
-        await trio.sleep_until(min(began + max(STOP_SERVES_S, 2 * LOOKUP_TTL_S), end - 1.0))
+            await self._workspaces.release_slots()
+        await trio.sleep_until(
+            min(started_at + max(MIN_STOP_SERVING_S, 2 * LOOKUP_TTL_S), deadline - 1.0)
+        )
         for server in self._servers:
             server.stop_accepting()
-        with trio.move_on_at(end) as scope:
+        with trio.move_on_at(deadline) as scope:
             await self._dispatcher.wait_idle()
         if scope.cancelled_caught:
             log_event("stop-cuts", level="ERROR", open_requests=self._dispatcher.open_requests)
--- a/src/wagtailpoint/daemon/store_state.py
+++ b/src/wagtailpoint/daemon/store_state.py
@@ -17,17 +17,17 @@
 class StoreState:
     """Puts what the followers learn in force."""
 
-    def __init__(self, *, fleet: Fleet, on_gone: Callable[[ServerStart], None]) -> None:
+    def __init__(self, *, fleet: Fleet, on_removed: Callable[[ServerStart], None]) -> None:
         """Make it without any configuration.
 
         Args:
             fleet: The backend servers.
-            on_gone: Called with each backend server that is gone, or has started again.
+            on_removed: Called with each backend server that is gone, or has started again.
         """
         self._fleet = fleet
-        self._on_gone = on_gone
+        self._on_removed = on_removed
         self._table: RouteTable | None = None
-        self._config_read = True
+        self._is_config_readable = True
         self._decoded: dict[str, _Decoded] = {}
         self._heartbeats = NewestHeartbeats()
 
@@ -37,9 +37,9 @@
         return self._table
 
     @property
-    def config_read(self) -> bool:
+    def is_config_readable(self) -> bool:
         """Whether the newest configuration could be read, and so is the one in force."""
-        return self._config_read
+        return self._is_config_readable
 
     def apply_config(self, objects: Mapping[str, StoredObject]) -> None:
         """Put a newer configuration in force; an older or an unreadable one changes nothing."""
@@ -47,7 +47,7 @@
         if stored is None:
             return
         decoded = decode_config(stored)
-        self._config_read = not isinstance(decoded, Err)
+        self._is_config_readable = not isinstance(decoded, Err)
         if isinstance(decoded, Err):
             log_event("config-unreadable", level="ERROR", error=decoded.err_value)
             return
@@ -65,7 +65,7 @@
     @property
     def unusable_entries(self) -> int:
         """Entries that name no backend server, as they can't be read."""
-        return sum(each.found is None for each in self._decoded.values())
+        return sum(decoded.server is None for decoded in self._decoded.values())
 
     def apply_servers(self, objects: Mapping[str, StoredObject]) -> None:
         """Take in the entries of all backend servers; those that can't be read name none.
@@ -73,30 +73,30 @@
         Only what has changed is looked at: one of hundreds does many times a second, and each time
         all instances hear of it.
         """
-        gone = self._decoded.keys() - objects.keys()
-        changed = [stored for stored in objects.values() if self._is_news(stored)]
-        for name in gone:
+        removed = self._decoded.keys() - objects.keys()
+        changed = [stored for stored in objects.values() if self._has_changed(stored)]
+        for name in removed:
             del self._decoded[name]
         entries = []
         for stored in changed:
-            found = self._decode(stored)
-            self._decoded[stored.name] = _Decoded(stored.version, found)
-            if found is None:
-                gone.add(stored.name)
+            server = self._decode(stored)
+            self._decoded[stored.name] = _Decoded(stored.version, server)
+            if server is None:
+                removed.add(stored.name)
             else:
-                entries.append(self._heartbeats.newest(found))
+                entries.append(self._heartbeats.newest(server))
         known = self._fleet.entries
         for start in self._fleet.apply_changes(
-            entries, gone=[name for name in gone if name in known]
+            entries, gone=[name for name in removed if name in known]
         ):
-            self._on_gone(start)
+            self._on_removed(start)
 
     def apply_evacuations(self, objects: Mapping[str, StoredObject]) -> None:
         """Send nothing to the failure domains that are named."""
         services = self._table.services if self._table is not None else {}
         self._fleet.evacuate(frozenset(objects), services)
 
-    def _is_news(self, stored: StoredObject) -> bool:
+    def _has_changed(self, stored: StoredObject) -> bool:
         known = self._decoded.get(stored.name)
         return known is None or known.version != stored.version
 
@@ -112,4 +112,4 @@
     """What an entry says at a version; nothing if it can't be read."""
 
     version: int
-    found: RegisteredServer | None
+    server: RegisteredServer | None
--- a/src/wagtailpoint/daemon/workspace_rules.py
+++ b/src/wagtailpoint/daemon/workspace_rules.py
@@ -83,10 +83,10 @@
             is_entry=is_entry,
             random=random,
         )
-        self._allowances_of: RouteTable | None = None
+        self._allowances_table: RouteTable | None = None
         self._known_allowances: Mapping[str, Allowance | None] = {}
 
-    def prove(self, follower: KindFollower, *, is_watcher: Callable[[], bool]) -> None:
+    def set_follower(self, follower: KindFollower, *, is_watcher: Callable[[], bool]) -> None:
         """Tell what follows the configuration, and whether the others of the region ask here."""
         self._follower = follower
         self._is_watcher = is_watcher
@@ -107,7 +107,7 @@
             ValueError: Nothing follows the configuration yet.
         """
         if self._follower is None:
-            raise ValueError("follower: given None, expected one from `prove`")
+            raise ValueError("follower: given None, expected one from `set_follower`")
         confirmation = self._confirmation = Confirmation(
             follower=self._follower,
             platform=self._platform,
@@ -121,19 +121,19 @@
             nursery.start_soon(self._slots.run)
             nursery.start_soon(self.allowances.run)
 
-    def note_change(self) -> None:
+    def record_change(self) -> None:
         """What the store says has changed."""
         self._slots.record_config_change()
         if self._confirmation is not None:
             self._confirmation.on_config_change()
 
-    async def give_up(self) -> None:
+    async def release_slots(self) -> None:
         """Let others have the slots, before this instance leaves."""
         await self._slots.release()
 
     def _version(self) -> int:
         """The version of the configuration in force; 0 if the newest one could not be read."""
-        if self._follower is None or not self._state.config_read:
+        if self._follower is None or not self._state.is_config_readable:
             return 0
         return self._follower.state.version
 
@@ -144,11 +144,13 @@
 
     def _allowances(self) -> Mapping[str, Allowance | None]:
         table = self._state.table
-        if table is not self._allowances_of:
-            self._allowances_of = table
-            found = (table.workspaces or {}).values() if table is not None else ()
-            self._known_allowances = {each.name: each.allowance for each in found}
+        if table is not self._allowances_table:
+            self._allowances_table = table
+            workspaces = (table.workspaces or {}).values() if table is not None else ()
+            self._known_allowances = {
+                workspace.name: workspace.allowance for workspace in workspaces
+            }
         return self._known_allowances
 
     def _has_allowances(self) -> bool:
-        return any(each is not None for each in self._allowances().values())
+        return any(workspace is not None for workspace in self._allowances().values())
--- a/tests/cover/test_observing.py
+++ b/tests/cover/test_observing.py
@@ -9,9 +9,9 @@
 from loguru import logger
 
 from tests.common.fake_clock import FakeClock
-from wagtailpoint.daemon.api import OwnPages, Page
-from wagtailpoint.daemon.metrics_page import measure, metrics_text
-from wagtailpoint.daemon.observing import RequestObserver
+from wagtailpoint.daemon.api import ApiRouter, Page
+from wagtailpoint.daemon.metrics_page import collect_metrics, metrics_text
+from wagtailpoint.daemon.request_observer import RequestObserver
 from wagtailpoint.entry.observer import CompletedRequest
 from wagtailpoint.entry.request import CallerRequest
 from wagtailpoint.observe.hlc import ZERO, HybridClock
@@ -44,8 +44,8 @@
         metrics.count("verdict.ran", 3)
         metrics.record_latency(LatencyKey("request", 'a"b', "browse", verdict="ran"), 0.5)
         peers = PeerCounts({"heartbeat": Traffic(2, 80)}, {}, {"link-full": 1})
-        measured = trio.run(measure, metrics, peers, {"open_requests": 4})
-        lines = metrics_text(measured).decode().splitlines()
+        snapshot = trio.run(collect_metrics, metrics, peers, {"open_requests": 4})
+        lines = metrics_text(snapshot).decode().splitlines()
         labels = r'workspace="a\"b",class="browse",verdict="ran"'
         for line in (
             "# TYPE wagtailpoint_request_seconds summary",
@@ -120,7 +120,7 @@
         def page(query):
             return Page(HTTPStatus.OK, dict(query))
 
-        pages = OwnPages(pages={}, quick={"echo": page})
+        pages = ApiRouter(pages={}, quick={"echo": page})
         reply = pages.answer(b"/v1/echo?a=1&a=2", HEADERS)
         assert reply is not None
         self.assertEqual(reply.body, b'{"a":"2"}')
--- a/tests/cover/test_settings_file.py
+++ b/tests/cover/test_settings_file.py
@@ -44,7 +44,7 @@
         Sequence: the file changes without any signal. Cause: bounds were read at the start only.
         """
         self.write(BudgetSlack=10, ColdOverage=1.1)
-        self.file.look(told=False)
+        self.file.reload(signalled=False)
         self.assertEqual(self.file.bounds.repeat_slack, 10)
         self.assertEqual(self.file.bounds.cold_overage, 1.1)
         self.assertIn("reload", self.lines[0])
@@ -53,22 +53,22 @@
     def test_other_fields_hold_from_the_next_start(self) -> None:
         self.document["Network"]["SeedAddrs"] = ["127.0.0.9:8146"]
         self.write()
-        self.file.look(told=False)
+        self.file.reload(signalled=False)
         self.assertIn("'from_next_start': 'seeds'", self.lines[0])
 
     def test_wrong_file_changes_nothing_and_is_said_once(self) -> None:
         self.path.write_text("{")
         for _ in range(3):
-            self.file.look(told=False)
+            self.file.reload(signalled=False)
         self.assertEqual(self.file.bounds.repeat_slack, 58)
         self.assertEqual(len(self.lines), 1)
         self.assertIn("reload-refused", self.lines[0])
         self.write(BudgetSlack=20)
-        self.file.look(told=False)
+        self.file.reload(signalled=False)
         self.assertEqual(self.file.bounds.repeat_slack, 20)
 
     def test_unchanged_file_is_logged_only_after_a_signal(self) -> None:
-        self.file.look(told=False)
+        self.file.reload(signalled=False)
         self.assertEqual(self.lines, [])
-        self.file.look(told=True)
+        self.file.reload(signalled=True)
         self.assertEqual(len(self.lines), 1)
--- a/tests/cover/test_store_state.py
+++ b/tests/cover/test_store_state.py
@@ -23,7 +23,7 @@
         self.addCleanup(logger.enable, "wagtailpoint")
         self.fleet = Fleet(region_of=REGION_OF)
         self.gone: list[ServerStart] = []
-        self.state = StoreState(fleet=self.fleet, on_gone=self.gone.append)
+        self.state = StoreState(fleet=self.fleet, on_removed=self.gone.append)
         self.version = 0
 
     def apply(self, **values) -> list[str]:
