--- a/src/wagtailpoint/daemon/__init__.py
+++ b/src/wagtailpoint/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon wagtailpointd: one instance, wired together."""
+"""The daemon ``wagtailpointd``: assembles and runs one instance."""
--- a/src/wagtailpoint/daemon/__main__.py
+++ b/src/wagtailpoint/daemon/__main__.py
@@ -1,4 +1,4 @@
-"""Runs ``python -m wagtailpoint.daemon``."""
+"""Entry point of ``python -m wagtailpoint.daemon``."""
 
 from wagtailpoint.daemon.main import main
 
--- a/src/wagtailpoint/daemon/api.py
+++ b/src/wagtailpoint/daemon/api.py
@@ -1,4 +1,4 @@
-"""The instance's own pages: lookup for callers; status, metrics and time line for operators."""
+"""HTTP API of an instance: lookup for callers; status, metrics and timeline for operators."""
 
 import math
 from collections.abc import Awaitable, Callable, Mapping
@@ -24,13 +24,13 @@
 
 
 class Page(NamedTuple):
-    """The answer of one of the instance's own pages.
+    """The response of one API page.
 
     Attributes:
         status: HTTP status.
-        value: Is sent as JSON; bytes are sent as they are.
-        retry_after_s: When to come back after a refusal, in seconds.
-        content_type: Its media type.
+        value: Body, encoded as JSON; bytes are sent unchanged.
+        retry_after_s: Seconds after which a refused caller may retry; None to give no hint.
+        content_type: Media type of the body.
     """
 
     status: int
@@ -40,7 +40,7 @@
 
 
 class _Encoded(NamedTuple):
-    """A page as it is sent."""
+    """A page encoded for sending."""
 
     status: int
     headers: Headers
@@ -53,34 +53,34 @@
 
 
 def refusal_page(refusal: Refusal) -> Page:
-    """A refusal as a page."""
+    """Return the page that reports a refusal."""
     return Page(refusal.status, msgspec.Raw(refusal.body()), refusal.retry_after_s)
 
 
 def bad_query_page(reason: str) -> Page:
-    """What a page answers to a wrong query."""
+    """Return the page that reports an invalid method, path or query."""
     return refusal_page(
         refuse(HTTPStatus.BAD_REQUEST, RefusalCode.BAD_REQUEST, reason, BAD_REQUEST_RETRY_AFTER_S)
     )
 
 
 class ApiRouter:
-    """Serves everything under ``/v1/``."""
+    """Routes requests under ``/v1/`` to their page handlers."""
 
     def __init__(
         self, *, pages: Mapping[str, PageHandler], quick: Mapping[str, QuickPage] | None = None
     ) -> None:
-        """Make the pages.
+        """Initialise the router.
 
         Args:
-            pages: By name, for example ``status``.
-            quick: Those that are answered at once, by name.
+            pages: Asynchronous handlers by page name, for example ``status``.
+            quick: Synchronous handlers by page name.
         """
         self._pages = pages
         self._quick = {f"{PREFIX}{name}".encode(): page for name, page in (quick or {}).items()}
 
     def answer(self, target: bytes, headers: Headers) -> QuickReply | None:
-        """Answer a GET at once, if its page is among the quick ones."""
+        """Answer a GET synchronously; None if the path has no synchronous handler."""
         path, _, query = target.partition(b"?")
         page = self._quick.get(path)
         if page is None:
@@ -91,7 +91,7 @@
         return QuickReply(value.status, sent, value.body)
 
     async def serve(self, request: CallerRequest, sink: ReplySink) -> None:
-        """Answer one request."""
+        """Answer a request to any page, or refuse it if the page or method is unknown."""
         path, _, query = request.target.partition("?")
         name = path.removeprefix(PREFIX)
         handler = self._pages.get(name)
--- a/src/wagtailpoint/daemon/backend_prober.py
+++ b/src/wagtailpoint/daemon/backend_prober.py
@@ -1,4 +1,4 @@
-"""Asks the backend servers for their load reports, one task for each."""
+"""Polls the load reports of the backend servers, with one task for each."""
 
 from collections.abc import Callable
 from random import Random
@@ -13,7 +13,7 @@
 
 
 class _ProbeTask:
-    """A backend server with its task."""
+    """The probing task of a backend server."""
 
     def __init__(self, *, path: str, scope: trio.CancelScope) -> None:
         self.path = path
@@ -21,7 +21,7 @@
 
 
 class BackendProber:
-    """Keeps one probing task for each backend server of the configuration in force."""
+    """Runs one probing task for each backend server of the configuration in force."""
 
     def __init__(
         self,
@@ -32,15 +32,15 @@
         timeout_s: float,
         random: Random,
     ) -> None:
-        """Make a prober without any task.
+        """Initialise a prober without tasks.
 
         Args:
-            backends: Carries the questions.
-            health: Takes the reports.
-            interval_s: Seconds between two questions to the same backend server. It grows with
-                the number of instances, so that the sum over all instances stays bearable.
-            timeout_s: The longest wait for a report.
-            random: For the jitter.
+            backends: Sends the probes.
+            health: Receives reports and failed probes.
+            interval_s: Returns the seconds between two probes of the same backend server. It grows
+                with the number of instances, to bound the probes of all instances together.
+            timeout_s: Seconds after which a probe without a report has failed.
+            random: Source of the jitter.
         """
         self._backends = backends
         self._health = health
@@ -52,7 +52,7 @@
         self._config: EffectiveConfig | None = None
 
     def apply(self, config: EffectiveConfig) -> None:
-        """Follow another configuration: start and end tasks."""
+        """Start and cancel tasks to match a new configuration."""
         self._config = config
         if self._nursery is None:
             return
@@ -75,7 +75,7 @@
         self._health.retain(list(paths))
 
     async def run(self) -> None:
-        """Probe until cancelled."""
+        """Run the probing tasks until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             if self._config is not None:
--- a/src/wagtailpoint/daemon/config_state.py
+++ b/src/wagtailpoint/daemon/config_state.py
@@ -1,4 +1,4 @@
-"""The configuration in force on this instance, and the rule that it never goes back."""
+"""The configuration in force on this instance, whose version never decreases."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -21,12 +21,12 @@
 
 
 class ConfigState:
-    """Holds the newest snapshot that was heard of and the newest one that could be compiled.
+    """Holds the newest snapshot received and the newest one that compiled.
 
     Args:
-        timeline: Is told what comes into force.
-        prepare: Does, in a thread, what would hold up requests for long; is given what comes into
-            force next, and is done when the followers are called.
+        timeline: Records configurations that come into force or are rejected.
+        prepare: Called in a worker thread with each compiled configuration, for work that would
+            block the event loop for long. Returns before the followers are called.
     """
 
     def __init__(
@@ -47,33 +47,33 @@
 
     @property
     def snapshot(self) -> Snapshot | None:
-        """The newest snapshot, also one that can't be compiled here."""
+        """The newest snapshot received, even if it does not compile on this instance."""
         return self._snapshot
 
     @property
     def effective(self) -> EffectiveConfig | None:
-        """What is in force; None before there is any."""
+        """The configuration in force; None before the first one."""
         return self._effective
 
     @property
     def version(self) -> int:
-        """The version in force, 0 before there is any."""
+        """The version in force; 0 before the first configuration."""
         return self._effective.version if self._effective is not None else 0
 
     @property
     def rejected_version(self) -> int | None:
-        """A newer version that this instance could not read and does not enforce."""
+        """A newer version that did not compile and is not in force; None if there is none."""
         return self._rejected_version
 
     def follow(self, follower: Callable[[EffectiveConfig], Any]) -> None:
-        """Call ``follower`` whenever another configuration comes into force."""
+        """Register a callback for each configuration that comes into force."""
         self._followers.append(follower)
 
     def offer(self, snapshot: Snapshot, *, source: str) -> None:
-        """Take a snapshot from the platform or a peer; ``run`` brings it into force.
+        """Accept a snapshot from the platform or a peer; ``run`` brings it into force.
 
-        A stale watch, a lagging read or a peer that was cut off may offer an older version than
-        the one in force. It is dropped: a caller would otherwise see an accepted change vanish.
+        A stale watch, a lagging read or a peer that was partitioned may offer an older version
+        than the one in force. It is ignored; otherwise an accepted change would be undone.
         """
         if self._snapshot is not None and snapshot.change.version <= self._snapshot.change.version:
             return
@@ -82,24 +82,25 @@
         self._was_offered.set()
 
     async def run(self) -> None:
-        """Bring what is offered into force, one after the other, until cancelled.
+        """Bring offered snapshots into force, one at a time, until cancelled.
 
-        Of several that are offered meanwhile only the newest is compiled.
+        Of the snapshots offered during a compilation only the newest is compiled next.
         """
         while True:
             await self._was_offered.wait()
             self._was_offered = trio.Event()
             offered, self._offered = self._offered, None
             if offered is not None:
-                # Hundreds of thousands of client blocks take seconds to read and to sort. Requests
-                # and heartbeats must go on meanwhile: peers would take this instance for dead.
+                # Reading and sorting hundreds of thousands of client blocks takes seconds. On the
+                # event loop it would delay requests, and heartbeats until peers declare this
+                # instance dead.
                 compiled = await trio.to_thread.run_sync(
                     self._compile, offered.snapshot, abandon_on_cancel=True
                 )
                 self._enforce(offered, compiled)
 
     def _compile(self, snapshot: Snapshot) -> Result[EffectiveConfig, InvalidInput]:
-        """Compile in a thread; ``run`` sees to it that there is one at a time."""
+        """Compile a snapshot in a worker thread; ``run`` never runs two compilations at once."""
         compiled = compile_config(
             version=snapshot.change.version,
             objects=snapshot.objects,
@@ -112,8 +113,8 @@
         change = offered.snapshot.change
         version = change.version
         if isinstance(compiled, Err):
-            # An object written by a newer program, say. Serving with the last good configuration
-            # is better than not serving; status and log name the mistake.
+            # For example, an object written by a newer release. The last good configuration stays
+            # in force, so that requests are still served; status and log report the mistakes.
             self._rejected_version = version
             mistakes = "; ".join(str(mistake) for mistake in compiled.err_value.mistakes)
             log_event("config-rejected", level="ERROR", version=version, mistakes=mistakes)
--- a/src/wagtailpoint/daemon/draining.py
+++ b/src/wagtailpoint/daemon/draining.py
@@ -1,4 +1,4 @@
-"""What is left to do of each drain, as this instance sees it."""
+"""Progress of each drain, as this instance sees it."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -8,12 +8,12 @@
 
 
 class DrainStatus(NamedTuple):
-    """A drain on the status page.
+    """Progress of a drain, as the status page shows it.
 
     Attributes:
-        name: Its name.
-        backend_servers: What it covers.
-        in_flight: Requests that this instance still has there, downloads included.
+        name: Name of the drain.
+        backend_servers: Addresses of the backend servers that it covers.
+        in_flight: Requests from this instance that are open at them, downloads included.
     """
 
     name: str
@@ -24,11 +24,11 @@
 def drain_status(
     config: EffectiveConfig, count_held: Callable[[BackendServer], int]
 ) -> list[DrainStatus]:
-    """All drains.
+    """Return the progress of all drains.
 
     Args:
         config: The configuration in force.
-        count_held: Counts the slots of a backend server that this instance holds.
+        count_held: Returns how many slots of a backend server this instance holds.
     """
     servers = {
         server
--- a/src/wagtailpoint/daemon/entry_pages.py
+++ b/src/wagtailpoint/daemon/entry_pages.py
@@ -1,4 +1,4 @@
-"""What an instance answers besides requests: readiness, lookups, metrics."""
+"""Pages of an instance on the platform: readiness, lookups and metrics."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -14,17 +14,18 @@
 from wagtailpoint.proxy.caller_exchange import CallerExchange, IncomingRequest
 
 LOOKUP_TTL_S = 2.0
-"""How long callers keep an answer: an instance that stops serves them for so long, and one that is
-lost costs them failed connections for so long. Each lookup takes about 1 ms of processor time."""
+"""Time for which callers cache a lookup, unless the operators demand less. A stopping instance has
+to serve them for this time, and a lost one causes failed connections for this time. A shorter time
+means more lookups, each of which takes about 1 ms of processor time."""
 
 MAX_ADDRESSES = 64
-"""Callers accept no more addresses in an answer."""
+"""Callers reject lookup answers with more addresses."""
 
 JSON = ((b"content-type", b"application/json"),)
 
 
 class EntryPages:
-    """Answers the platform's and the callers' questions."""
+    """Answers readiness checks, lookups and metrics scrapes."""
 
     def __init__(
         self,
@@ -36,15 +37,15 @@
         peers: Peers,
         gauges: Callable[[], dict[str, float]],
     ) -> None:
-        """Make them.
+        """Initialise the pages.
 
         Args:
-            lookup_ttl_max_s: Callers keep an answer no longer than this, in seconds.
-            entries: Which instances callers shall use.
-            is_ready: Whether this instance takes requests.
-            metrics: Counts and latencies.
-            peers: For their counts.
-            gauges: Values of this moment.
+            lookup_ttl_max_s: Returns the operators' bound of the TTL of lookups, in seconds.
+            entries: Selects the instances that callers should use.
+            is_ready: Whether this instance accepts requests.
+            metrics: Counts and latencies of this instance.
+            peers: Links to the peers, for their message counts.
+            gauges: Returns the current values of the gauges.
         """
         self._lookup_ttl_max_s = lookup_ttl_max_s
         self._entries = entries
@@ -54,7 +55,7 @@
         self._gauges = gauges
 
     async def handle(self, request: IncomingRequest, caller: CallerExchange) -> None:
-        """Answer a question."""
+        """Answer a readiness check or a lookup."""
         if is_readiness(request.target):
             ready = self._is_ready()
             await caller.reply(HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE, (), b"")
@@ -72,13 +73,13 @@
         await caller.reply(HTTPStatus.OK, JSON, encode_lookup(entries, self._ttl_s()))
 
     async def handle_metrics(self, request: IncomingRequest, caller: CallerExchange) -> None:
-        """Answer with all metrics as text."""
+        """Answer with all metrics in the Prometheus text format."""
         snapshot = await collect_metrics(self._metrics, self._peers.counts, self._gauges())
         headers = ((b"content-type", CONTENT_TYPE),)
         await caller.reply(HTTPStatus.OK, headers, metrics_text(snapshot))
 
     def entries_for(self, question: LookupQuestion) -> list[Endpoint]:
-        """The entries that a caller shall use: the nearest that there are."""
+        """Return the nearest entries for a caller, at most ``MAX_ADDRESSES``."""
         nearest = self._entries.nearest(question.failure_domain, question.region)
         return [Endpoint(entry.address, entry.port) for entry in nearest[:MAX_ADDRESSES]]
 
--- a/src/wagtailpoint/daemon/entry_role.py
+++ b/src/wagtailpoint/daemon/entry_role.py
@@ -1,4 +1,4 @@
-"""Whether callers are told to use this instance, and what follows from that."""
+"""Whether lookups name this instance as an entry, and what depends on it."""
 
 from collections.abc import Callable
 from typing import Final
@@ -16,17 +16,18 @@
 
 
 class EntryRole:
-    """The entries as this instance sees them, its part in their bounds, and the load it tells."""
+    """Provides the known entries, this instance's share of common bounds, and its load reports."""
 
     def __init__(
         self, *, membership: Membership, instances: InstanceCount, registered: Callable[[], int]
     ) -> None:
-        """Make it.
+        """Initialise the role.
 
         Args:
-            membership: Who is there.
-            instances: All instances that share a bound.
-            registered: How many registered, for as long as not all are known.
+            membership: The instances that are known.
+            instances: Counts the instances that share a bound.
+            registered: Returns how many instances are registered in the store; used until
+                membership knows all of them.
         """
         self._membership = membership
         own = membership.own
@@ -48,19 +49,19 @@
 
     @property
     def nearby_counts(self) -> NearbyEntryCounts:
-        """How many there are around this instance."""
+        """The numbers of entries near this instance."""
         return self._nearby_counts
 
     def is_entry(self) -> bool:
-        """Whether callers are told to use this instance."""
+        """Return whether lookups name this instance as an entry."""
         return self._choice.includes(self._address)
 
     def bound_divisor(self) -> float:
-        """What to divide a bound of all instances by for this one's part; at least 1."""
+        """Return by what to divide a common bound to get this instance's share; at least 1."""
         return self._bound_share.divisor
 
     async def report_load(self) -> None:
-        """Tell the others how busy this instance is, until cancelled."""
+        """Publish the processor load of this instance periodically, until cancelled."""
         load = ProcessorLoad()
         trio.lowlevel.add_instrument(load)
         overloaded = False
--- a/src/wagtailpoint/daemon/equal_fraction.py
+++ b/src/wagtailpoint/daemon/equal_fraction.py
@@ -1,10 +1,13 @@
-"""The part of a limit that an instance may spend when nobody knows who needs how much."""
+"""The fraction of a common limit that an instance may use without knowing the others' demand."""
 
 from wagtailpoint.config.model import EffectiveConfig
 
 
 def equal_fraction(config: EffectiveConfig | None) -> float:
-    """One of as many parts as the regions plan for; no more instances may run at a time."""
+    """Return 1 divided by the seats of all regions, which bound how many instances run at a time.
+
+    Returns 0 while no configuration is in force.
+    """
     if config is None:
         return 0.0
     return 1 / sum(
--- a/src/wagtailpoint/daemon/followers.py
+++ b/src/wagtailpoint/daemon/followers.py
@@ -1,4 +1,4 @@
-"""What an instance follows in the store, and who puts it in force."""
+"""Followers of the kinds of stored objects that an instance on the platform needs."""
 
 from collections.abc import Callable, Mapping
 from random import Random
@@ -23,15 +23,15 @@
     quarantine: SharedQuarantine,
     on_change: Callable[[], None],
 ) -> Mapping[str, KindFollower]:
-    """Make a follower of each kind.
+    """Return the follower of each kind, by kind.
 
     Args:
-        platform: The store.
-        peers: Asked while the store can't be reached.
-        check: Notices when a watch waits in vain.
+        platform: The object store.
+        peers: Asked for the state while the store is unreachable.
+        check: Detects watches that miss changes.
         random: For the jitter.
-        state: Puts routes, backend servers and evacuations in force.
-        quarantine: Takes in the requests that the store lists as quarantined.
+        state: Applies routes, backend servers and evacuations.
+        quarantine: Applies the list of quarantined requests.
         on_change: Called after every change.
     """
 
@@ -69,7 +69,8 @@
         make_follower(
             EVACUATIONS_KIND, lambda kind_state: state.apply_evacuations(kind_state.objects)
         ),
-        # Not checked: peers tell it, too, and each kind more makes the check of the others rarer.
+        # Not checked: peers broadcast quarantined requests too, and every further kind makes the
+        # checks of the others less frequent.
         make_follower(QUARANTINE_KIND, quarantine.apply_listing, is_checked=False),
     ]
     return {follower.kind: follower for follower in followers}
--- a/src/wagtailpoint/daemon/graceful_stop.py
+++ b/src/wagtailpoint/daemon/graceful_stop.py
@@ -12,15 +12,15 @@
 
 CLEANUP_TIMEOUT_S = 5.0
 LEAVE_SPREAD_S = 1.5
-"""How long the word that an instance leaves takes to reach all lookups, beside the lookups' TTL."""
+"""Time for the news that an instance leaves to reach all members; added to the TTL of lookups."""
 
 
 class GracefulStop:
-    """Ends an instance without cutting any request.
+    """Stops an instance without cutting any request.
 
-    The order matters. The instance leaves the lookups first and goes on serving, because callers
-    with a cached lookup still come for as long as its TTL. Only then does it refuse, ``not-run``,
-    so that a caller that comes even later goes elsewhere. Then it waits for what is in flight.
+    The order matters. The instance first leaves the lookups and continues to serve, because callers
+    use a cached lookup until its TTL ends. Then it refuses new requests with ``not-run``, so that
+    later callers retry at another entry. Finally it waits for the requests in flight.
     """
 
     def __init__(
@@ -40,11 +40,11 @@
         self._cleanups: list[Callable[[], Awaitable[None]]] = []
 
     def add_cleanup(self, cleanup: Callable[[], Awaitable[None]]) -> None:
-        """Call ``duty`` when no request is open any more."""
+        """Register a function to call after the last open request."""
         self._cleanups.append(cleanup)
 
     async def wait(self) -> None:
-        """Wait for SIGTERM or SIGINT, then see the instance through to its end."""
+        """Wait for SIGTERM or SIGINT, then stop the instance gracefully."""
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             async for number in signals:
                 log_event("stop-begins", signal=signal.Signals(number).name)
@@ -63,7 +63,7 @@
         if scope.cancelled_caught:
             log_event("stop-cuts", level="ERROR", open_requests=self._gate.open_requests)
         for cleanup in self._cleanups:
-            # The platform may be out; what could not be given back ends with its lease.
+            # The platform may be unavailable; what could not be released ends with its lease.
             with trio.move_on_after(CLEANUP_TIMEOUT_S):
                 await cleanup()
         self._membership.announce_exit()
--- a/src/wagtailpoint/daemon/instance.py
+++ b/src/wagtailpoint/daemon/instance.py
@@ -1,4 +1,4 @@
-"""One instance: all its parts, wired together, and its tasks."""
+"""An instance that runs from its own settings file: construction of its parts, and its tasks."""
 
 from random import Random
 
@@ -59,16 +59,17 @@
 MIN_RETRIES_PER_S = 1.0
 WATCHERS_PER_FAILURE_DOMAIN = 1
 MAX_PROBES_PER_S = 150.0
-"""Of all instances together: each more would cost the backend server and the instances."""
+"""Upper bound for one backend server, of all instances together. Each probe costs processor time
+of the backend server and of the instance."""
 FACTS_INTERVAL_S = 0.25
 CLAIMS_CLEANUP_INTERVAL_S = 10.0
 CLAIM_RETENTION_EPOCHS = 3
 CONNECTIONS_PER_REQUEST = 2
-"""Connections for each open request that the limits allow: most callers' connections are idle."""
+"""Connections accepted for each open request that the limits allow; most connections are idle."""
 
 
 class Instance:
-    """One instance of wagtailpoint."""
+    """Constructs the parts of one instance and runs their tasks."""
 
     def __init__(self, *, settings: Settings, nursery: trio.Nursery) -> None:
         self._settings = settings
@@ -173,7 +174,7 @@
         self._config.follow(self._apply_config)
 
     async def run(self) -> None:
-        """Run until a graceful stop has ended."""
+        """Run until a graceful stop is complete."""
         server = HttpServer(
             options=ServerOptions(
                 address=self._settings.address,
@@ -233,11 +234,11 @@
         )
 
     def _cap_fraction(self) -> float:
-        """The part of every move's cap that this instance may spend."""
+        """Return the fraction of every move's cap that this instance may use."""
         return equal_fraction(self._config.effective)
 
     def _locate(self, incarnation: str) -> PeerAddress | None:
-        """Where an incarnation is heard, if it is believed to be alive."""
+        """Return the peer address of an incarnation; None if it is unknown or dead."""
         number = int(incarnation, 16)
         return next(
             (
@@ -260,7 +261,7 @@
         return budget
 
     async def _publish_facts(self) -> None:
-        """Tell the others of the epoch and the load of this instance."""
+        """Publish the epoch and the load periodically, and update who watches the platform."""
         while True:
             self._membership.publish(epoch=self._keys.binding.epoch, load=self._load())
             watchers = self._membership.watchers(
@@ -369,7 +370,7 @@
 
 
 async def run_instance(settings: Settings) -> None:
-    """Run one instance until it was stopped gracefully."""
+    """Run one instance until a graceful stop is complete."""
     log_event("starting", region=settings.region, failure_domain=settings.failure_domain)
     async with trio.open_nursery() as nursery:
         await Instance(settings=settings, nursery=nursery).run()
--- a/src/wagtailpoint/daemon/instance_list.py
+++ b/src/wagtailpoint/daemon/instance_list.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of instances now and then, as a hint where members may be found."""
+"""Polls the platform's list of instances, which hints where members can be reached."""
 
 from collections.abc import Sequence
 from random import Random
@@ -14,15 +14,18 @@
 
 
 class InstanceList:
-    """The newest list that the platform gave; it lags, and is kept while the platform is out."""
+    """Holds the newest list of instances from the platform.
+
+    The list lags behind, and is kept while the platform is unavailable.
+    """
 
     def __init__(self, *, platform: Platform, peer_port: int, random: Random) -> None:
-        """Make an empty list.
+        """Initialise an empty list.
 
         Args:
-            platform: Is asked.
-            peer_port: Where listed instances hear their peers; the list does not say it.
-            random: For the jitter.
+            platform: Provides the list.
+            peer_port: Port for messages between instances, which the list does not contain.
+            random: Source of the jitter.
         """
         self._platform = platform
         self._peer_port = peer_port
@@ -30,11 +33,11 @@
         self._listed: Sequence[ListedInstance] = ()
 
     def addresses(self) -> Sequence[PeerAddress]:
-        """Where to look for members."""
+        """Return the peer addresses of the listed instances."""
         return [PeerAddress(instance.address, self._peer_port) for instance in self._listed]
 
     async def run(self) -> None:
-        """Read the list until cancelled."""
+        """Poll the list until cancelled."""
         while True:
             listed = await self._platform.instances()
             if isinstance(listed, Ok):
--- a/src/wagtailpoint/daemon/lookups.py
+++ b/src/wagtailpoint/daemon/lookups.py
@@ -1,4 +1,4 @@
-"""Keeps the lookup table in step with the configuration in force and with the members."""
+"""Lookups, from a table that follows the configuration in force and the members."""
 
 from http import HTTPStatus
 
@@ -16,7 +16,7 @@
 
 
 class Lookups:
-    """Answers lookups, or says that it can't yet."""
+    """Answers lookups; refuses them before the first configuration is in force."""
 
     def __init__(self, *, membership: Membership, failure_domain: str, ttl_s: float) -> None:
         self._membership = membership
@@ -27,14 +27,14 @@
         membership.on_change(self._update_entries)
 
     def prepare(self, config: EffectiveConfig) -> None:
-        """Build the table of the client blocks that ``apply`` will need; takes seconds for many.
+        """Build the table of client blocks for ``apply``, which takes seconds for many blocks.
 
-        May run in a thread: the table in use is left as it is.
+        May run in a worker thread, as it does not modify the table in use.
         """
         self._blocks = self._blocks.with_blocks(config.client_blocks)
 
     def apply(self, config: EffectiveConfig) -> None:
-        """Follow the configuration that was prepared last."""
+        """Build the lookup table for the configuration that was prepared last."""
         self._warn_if_unconfigured(config)
         self._table = LookupTable(
             config=config,
@@ -45,15 +45,15 @@
         self._update_entries()
 
     def answer(self, *, workspace: str, address: str) -> Result[LookupAnswer, Refusal]:
-        """Answer one lookup from memory."""
+        """Answer a lookup from memory, or refuse it."""
         if self._table is None:
             return Err(_not_ready())
         return self._table.answer(workspace=workspace, address=address)
 
     def _warn_if_unconfigured(self, config: EffectiveConfig) -> None:
-        """Log when the configuration does not know where this instance runs.
+        """Log a warning if the configuration lacks the failure domain of this instance.
 
-        Nobody would be told to use it then, and it would look healthy and idle.
+        No lookup names the instance then, although it seems healthy and idle.
         """
         known = {name for region in config.regions.values() for name in region.failure_domains}
         if self._failure_domain not in known:
@@ -70,8 +70,9 @@
 
 
 def _view(member: Member) -> EntryView:
-    # A suspect stays in the answers: it often only missed one heartbeat, and to drop it would send
-    # all of its callers to the others at once. Its callers retry elsewhere by themselves.
+    # Suspect members stay in the answers. Most have only missed one heartbeat, and removing them
+    # would move all of their callers to the other entries at once. If one is really down, its
+    # callers retry at another entry by themselves.
     return EntryView(
         address=member.address,
         port=member.port,
--- a/src/wagtailpoint/daemon/main.py
+++ b/src/wagtailpoint/daemon/main.py
@@ -1,4 +1,4 @@
-"""The program ``wagtailpointd``."""
+"""Command line of ``wagtailpointd``."""
 
 import os
 import sys
@@ -42,7 +42,8 @@
 
 
 def _run_from_settings(settings_file: Path, check: bool) -> None:
-    # Imported late: an instance on the platform needs none of it, and starts in half the time.
+    # Imported here because an instance on the platform does not need these modules, and starts in
+    # half the time without them.
     from wagtailpoint.daemon.instance import run_instance
 
     settings = read_settings(settings_file)
--- a/src/wagtailpoint/daemon/metrics_page.py
+++ b/src/wagtailpoint/daemon/metrics_page.py
@@ -1,4 +1,4 @@
-"""The page of metrics: JSON for programs of ours, text for Prometheus."""
+"""The metrics page, as JSON for the command line and as text for Prometheus."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any, NamedTuple
@@ -11,13 +11,13 @@
 
 
 class MetricsSnapshot(NamedTuple):
-    """Everything that is measured.
+    """All metrics at one moment.
 
     Attributes:
-        counts: By name.
-        latencies: With their percentiles.
-        peers: What went over the links.
-        gauges: Values of this moment by name, for example ``open_requests``.
+        counts: Event counts by name.
+        latencies: Latency summaries with their percentiles.
+        peers: Counts of messages to and from peers.
+        gauges: Current values by name, for example ``open_requests``.
     """
 
     counts: Mapping[str, int]
@@ -29,7 +29,11 @@
 async def collect_metrics(
     metrics: Metrics, peers: PeerCounts, gauges: Mapping[str, float]
 ) -> MetricsSnapshot:
-    """Gather everything, without keeping the callers waiting for the percentiles of all."""
+    """Collect all metrics.
+
+    Yields to other tasks after each summary, as computing all percentiles at once would delay
+    callers.
+    """
     latencies = []
     for latency in metrics.latencies():
         latencies.append(latency)
@@ -38,7 +42,7 @@
 
 
 def metrics_json(snapshot: MetricsSnapshot) -> dict[str, Any]:
-    """Everything that is measured, as a JSON value."""
+    """Return a snapshot as a JSON value."""
     peers = snapshot.peers
     return {
         "gauges": dict(snapshot.gauges),
@@ -53,7 +57,7 @@
 
 
 def metrics_text(snapshot: MetricsSnapshot) -> bytes:
-    """Everything that is measured, for Prometheus."""
+    """Return a snapshot in the Prometheus text format."""
     families = [
         Family(f"wagtailpoint_{name}", "gauge", "Now.", [Sample({}, value)])
         for name, value in snapshot.gauges.items()
--- a/src/wagtailpoint/daemon/move_tasks.py
+++ b/src/wagtailpoint/daemon/move_tasks.py
@@ -1,4 +1,4 @@
-"""The moves of one instance: what it knows, follows and, if it has the lease, writes."""
+"""Tasks of an instance for moves: share their progress, and write it while holding the lease."""
 
 from collections.abc import Callable
 from random import Random
@@ -22,7 +22,7 @@
 
 
 class MoveTasks:
-    """Runs everything about moves."""
+    """Runs the gossip, the writer and the cleaner of move progress."""
 
     def __init__(
         self,
@@ -37,19 +37,19 @@
         is_watching: Callable[[], bool],
         timings: Timings,
     ) -> None:
-        """Put it together.
+        """Initialise the tasks.
 
         Args:
-            board: What this instance knows of the moves.
-            platform: Where their progress is.
-            peers: Carry news of it.
-            membership: Who the peers are.
-            health: Has the backend servers' reports.
-            clock: Of this instance.
-            lease: Makes one instance the only writer.
-            is_watching: Whether this instance is one of the few of its failure domain that follow
-                the platform.
-            timings: Of the settings.
+            board: State of the moves, as this instance knows it.
+            platform: Stores the progress of moves.
+            peers: Links to the peers, for gossip about progress.
+            membership: The instances that are known.
+            health: Holds the load reports of backend servers.
+            clock: Clock of this instance.
+            lease: Ensures that only one instance writes progress.
+            is_watching: Whether this instance is one of those in its failure domain that watch the
+                platform.
+            timings: Timings from the settings.
         """
         self._membership = membership
         self._health = health
@@ -80,12 +80,12 @@
         )
 
     def apply(self, config: EffectiveConfig) -> None:
-        """Follow another configuration."""
+        """Apply a new configuration."""
         self._config = config
         self._board.apply(config)
 
     async def run(self) -> None:
-        """Run until cancelled."""
+        """Run all tasks until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._gossip.run)
             nursery.start_soon(self._write)
--- a/src/wagtailpoint/daemon/pages.py
+++ b/src/wagtailpoint/daemon/pages.py
@@ -1,4 +1,4 @@
-"""What the instance's own pages say, gathered from its parts."""
+"""Contents of the API pages, collected from the parts of the instance."""
 
 from collections.abc import Mapping, Sequence
 from http import HTTPStatus
@@ -37,7 +37,7 @@
 
 
 class InstancePages:
-    """The handlers of all pages under ``/v1/``."""
+    """Provides the handlers of all pages under ``/v1/``."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
 
     @property
     def handlers(self) -> Mapping[str, PageHandler]:
-        """The pages by name."""
+        """The asynchronous handlers by page name."""
         return {
             "status": self.status,
             "metrics": self.metrics,
@@ -79,11 +79,11 @@
 
     @property
     def quick(self) -> Mapping[str, QuickPage]:
-        """The pages that are answered at once, by name."""
+        """The synchronous handlers by page name."""
         return {"lookup": self.lookup}
 
     def lookup(self, query: Query) -> Page:
-        """Which entries a caller shall use."""
+        """Return the entries that a caller should use."""
         workspace, address = query.get("workspace"), query.get("address")
         if not workspace or not address:
             return bad_query_page(
@@ -97,7 +97,7 @@
         return Page(HTTPStatus.OK, answer.ok_value)
 
     async def status(self, _query: Query) -> Page:
-        """What this instance is, does and knows."""
+        """Return the state of this instance and what it knows of the members."""
         own = self._membership.own
         value = {
             "instance": _member_fields(own),
@@ -117,7 +117,7 @@
         return Page(HTTPStatus.OK, value)
 
     async def metrics(self, query: Query) -> Page:
-        """Counts and latency percentiles since the start."""
+        """Return gauges, and counts and latency percentiles since the start."""
         format_name = query.get("format", "json")
         if format_name not in ("json", "text"):
             return bad_query_page(f"given format={format_name[:20]!r}, expected json or text")
@@ -127,7 +127,7 @@
         return Page(HTTPStatus.OK, metrics_text(snapshot), content_type=CONTENT_TYPE)
 
     async def timeline(self, query: Query) -> Page:
-        """The newest events of this instance."""
+        """Return the newest events of this instance, in order of time."""
         try:
             since = parse_stamp(query["since"]) if "since" in query else ZERO
         except ValueError as error:
@@ -137,7 +137,7 @@
         for start in range(0, len(events), EVENTS_PER_BATCH):
             batch = events[start : start + EVENTS_PER_BATCH]
             batches.append(msgspec.json.encode([_event_fields(event) for event in batch])[1:-1])
-            # Thousands of events at once would keep the callers waiting for a tenth of a second.
+            # Encoding thousands of events at once would delay callers by a tenth of a second.
             await trio.lowlevel.checkpoint()
         return Page(HTTPStatus.OK, b'{"events":[' + b",".join(batches) + b"]}")
 
--- a/src/wagtailpoint/daemon/probes.py
+++ b/src/wagtailpoint/daemon/probes.py
@@ -1,4 +1,4 @@
-"""What an instance tries by itself at backend servers, beside callers' requests."""
+"""Tasks that contact backend servers independently of callers' requests."""
 
 from collections.abc import Awaitable, Callable, Iterable, Sequence
 from random import Random
@@ -22,15 +22,15 @@
     is_entry: Callable[[], bool],
     random: Random,
 ) -> Sequence[Callable[[], Awaitable[None]]]:
-    """The tasks that measure distances, open connections ahead, and try who could not be reached.
+    """Return the tasks that measure round trips, warm up connections and probe reachability.
 
     Args:
         fleet: The backend servers.
-        placement: Knows who could not be reached.
-        pool: The connections to them.
-        distances: Told of the round trips.
-        is_entry: Whether callers are told to use this instance.
-        random: For the jitter.
+        placement: Knows the backend servers that could not be reached.
+        pool: The connections to the backend servers.
+        distances: Records the round-trip times.
+        is_entry: Whether lookups name this instance as an entry.
+        random: Source of the jitter.
     """
 
     def entries() -> Iterable[ServerEntry]:
--- a/src/wagtailpoint/daemon/processor_load.py
+++ b/src/wagtailpoint/daemon/processor_load.py
@@ -1,4 +1,4 @@
-"""How much of its processor this process uses, seen from its event loop."""
+"""Processor load of this process, measured at its event loop."""
 
 from typing import Final
 
@@ -6,15 +6,15 @@
 
 RISE_HALF_LIFE_S: Final = 0.5
 FALL_HALF_LIFE_S: Final = 8.0
-"""Load that comes must be known at once. Load that goes may come back, and each change of entries
-moves callers to other connections."""
+"""Smoothing of the load. A rise has to be reported at once. A fall may be short, and each change of
+the entries moves callers to other connections."""
 
 
 class ProcessorLoad(trio.abc.Instrument):
-    """Measures the part of the time in which the event loop did not wait.
+    """Measures the fraction of time in which the event loop did not wait for I/O.
 
-    A process that is denied its processor counts as busy, which is right: its callers wait. The
-    processor time that the system counts would not show it.
+    Time in which the operating system does not schedule the process counts as busy, because
+    callers wait then too. The processor time that the system accounts would not show it.
     """
 
     def __init__(self) -> None:
@@ -24,17 +24,17 @@
         self._load = 0.0
 
     def before_io_wait(self, timeout: float) -> None:
-        """The loop has nothing to do."""
+        """Record that the event loop starts to wait."""
         self._wait_started_at = trio.current_time()
 
     def after_io_wait(self, timeout: float) -> None:
-        """The loop goes on."""
+        """Record that the event loop continues."""
         if self._wait_started_at is not None:
             self._waited_s += trio.current_time() - self._wait_started_at
             self._wait_started_at = None
 
     def read(self) -> float:
-        """From 0 (idle) to 1, averaged over some seconds; to be called from time to time."""
+        """Return the load, from 0 (idle) to 1, smoothed over some seconds; call periodically."""
         now = trio.current_time()
         if self._last_read_at is not None and now > self._last_read_at:
             elapsed_s = now - self._last_read_at
--- a/src/wagtailpoint/daemon/request_observer.py
+++ b/src/wagtailpoint/daemon/request_observer.py
@@ -1,4 +1,4 @@
-"""What becomes of the requests, in metrics and on the time line."""
+"""Records the outcome of requests in the metrics and on the timeline."""
 
 from typing import Final
 
@@ -19,26 +19,26 @@
 class RequestObserver:
     """Implements ``entry.observer.EntryObserver``.
 
-    Every latency is counted. An event on the time line is kept for what somebody may ask about:
-    each keyed request, and each one that was refused, retried, broken or abandoned. Each bears the
-    caller's request id and its key, so that one request can be followed across entries.
+    The metrics contain the latency of every request. The timeline contains events only of keyed
+    requests and of those that were refused, retried, broken off or abandoned. Each event has the
+    caller's request id and key, so that a request can be traced across entries.
     """
 
     def __init__(self, *, metrics: Metrics, timeline: Timeline, clock: Clock) -> None:
-        """Make an observer.
+        """Initialise the observer.
 
         Args:
-            metrics: Takes counts and latencies.
-            timeline: Takes the events of requests. Not the one of the instance's other events:
-                a flood of refusals would push a change of configuration out of it.
-            clock: The instance's clock.
+            metrics: Receives counts and latencies.
+            timeline: Receives the events of requests. Separate from the timeline of other events,
+                as a burst of refusals would evict those, for example configuration changes.
+            clock: Clock of this instance.
         """
         self._metrics = metrics
         self._timeline = timeline
         self._clock = clock
 
     def on_completed(self, request: CallerRequest, completed: CompletedRequest) -> None:
-        """The caller has its whole reply."""
+        """Record that the whole reply was sent to the caller."""
         latency_s = self._clock.monotonic() - request.arrived_at
         plan, code, verdict = completed.plan, completed.code, completed.verdict.value
         key = LatencyKey(
@@ -64,12 +64,12 @@
             )
 
     def on_reply_broken(self, request: CallerRequest, reason: str) -> None:
-        """The reply broke off after it had begun."""
+        """Record that a reply broke off after its start was sent."""
         self._metrics.count("reply-broken")
         self._record("request-broken", request, reason=reason)
 
     def on_abandoned(self, request: CallerRequest) -> None:
-        """The caller went away before its reply was whole."""
+        """Record that the caller disconnected before it had its whole reply."""
         self._metrics.count("caller-gone")
         self._record("request-abandoned", request)
 
@@ -81,7 +81,7 @@
         *,
         again: bool,
     ) -> None:
-        """One exchange gave no answer; ``again`` if the request is sent once more."""
+        """Record a failed exchange; ``again`` tells whether the request is retried."""
         self._metrics.count("retried" if again else "given-up")
         self._record(
             "request-retried" if again else "request-given-up",
@@ -92,7 +92,7 @@
         )
 
     def on_keyed_attempt_ended(self, request: CallerRequest, outcome: Outcome) -> None:
-        """A keyed attempt ended, whoever still waited for it."""
+        """Record the end of a keyed attempt, even if no caller waits for it."""
         self._record("attempt-ended", request, outcome=type(outcome).__name__)
 
     def _record(self, event: str, request: CallerRequest, **fields: FieldValue) -> None:
--- a/src/wagtailpoint/daemon/servers.py
+++ b/src/wagtailpoint/daemon/servers.py
@@ -1,4 +1,4 @@
-"""Which backend servers take new work: groups, drains, health and nearness, put together."""
+"""Selects the backend servers for new requests by group, drains, health and nearness."""
 
 import itertools
 from collections.abc import Callable, Iterable, Sequence
@@ -15,7 +15,7 @@
 
 
 class _Group(NamedTuple):
-    """A group of a service, worked out once for each configuration."""
+    """A group of a service, computed once for each configuration."""
 
     undrained: tuple[BackendServer, ...]
     nearness: Nearness
@@ -43,21 +43,21 @@
         self._rotations = itertools.count()
 
     def pool(self, plan: Plan) -> str:
-        """The service and the groups that a request may go to, as it arrives.
+        """Return the name of the queue of a request: its service and the groups it may use.
 
-        One that a move sends to its receiving side must not wait behind those that stay: the old
-        group is often moved from because it is full.
+        Requests that a move sends to the new group get a queue apart, so that they don't wait
+        behind those of the old group, which is often moved from because it is full.
         """
         return f"{plan.service.name}/{'+'.join(self.groups_for(plan, self.route(plan)))}"
 
     def groups_for(self, plan: Plan, route: MoveRoute | None) -> Sequence[str]:
-        """The groups that a request may go to now, each when those before are full."""
+        """Return the groups that a request may use now; each only if those before it are full."""
         if route is None:
             return (self.group_for(plan),)
         return tuple(filter(None, (route.to_group(), route.from_group)))
 
     def group_for(self, plan: Plan) -> str:
-        """The group that serves a request when no move concerns it; empty if there is none."""
+        """Return the group for a request that no move concerns; empty if there is none."""
         config = self._config()
         if config is None or plan.service.name not in config.services:
             return ""
@@ -65,24 +65,24 @@
         return workspace.groups.get(plan.service.name, "")
 
     def choice(self, plan: Plan) -> "ConfiguredChoice":
-        """The choice of a request's backend server."""
+        """Return the choice of a backend server for a request."""
         return ConfiguredChoice(servers=self, plan=plan)
 
     def route(self, plan: Plan) -> MoveRoute | None:
-        """Where a request goes because of a move; None if none concerns it."""
+        """Return where a move sends a request; None if no move concerns it."""
         return self._moves.route(
             workspace=plan.workspace.name, service=plan.service.name, affinity=plan.affinity
         )
 
     def tiers(self, plan: Plan, groups: Sequence[str]) -> dict[BackendServer, int]:
-        """The backend servers that may take a request now, with their tiers, the best first.
+        """Return the backend servers that may take a request now, with their tiers, best first.
 
-        It reads the configuration in force, not the one that the request was planned with: a
-        request may have waited in a queue while a drain came into force.
+        Uses the configuration in force, not the one that the request was planned with, because a
+        drain may have come into force while the request was queued.
 
         Args:
-            plan: The request.
-            groups: The groups to use, each when those before are full.
+            plan: The plan of the request.
+            groups: The groups to use; each only if those before it are full.
         """
         config = self._config()
         if config is None or plan.service.name not in config.services:
@@ -97,7 +97,7 @@
     def record_outcome(
         self, server: BackendServer, answered: BackendResponse | BackendFailure, latency_s: float
     ) -> None:
-        """Take note of how an exchange ended."""
+        """Record how an exchange ended and how many seconds it took."""
         self._health.observe_outcome(server.address, outcome_of(answered), latency_s)
         self._moves.record_exchange(server.address, answered, latency_s)
         name = str(server.address)
@@ -113,7 +113,8 @@
         usable = self._health.usable(group.undrained)
         if not usable:
             return {}
-        # Of equals the first is taken: without turns an idle entry would always ask the same one.
+        # The first of several equal servers is chosen. Without rotation an idle entry would send
+        # all requests to the same one.
         offset = next(self._rotations) % len(usable)
         return group.nearness.assign_tiers(usable[offset:] + usable[:offset])
 
@@ -145,10 +146,10 @@
         self._route = servers.route(plan)
 
     def candidates(self) -> Sequence[BackendServer]:
-        """Those that may take the request now, in order of preference.
+        """Return the backend servers that may take the request now, in order of preference.
 
-        A request that a move sends to its receiving side goes to the old one when that is full:
-        it isn't refused because of a move.
+        A request that a move sends to the new group falls back to the old group if the new one is
+        full, so that a move causes no refusals.
         """
         self._route = self._servers.route(self._plan)
         groups = self._servers.groups_for(self._plan, self._route)
@@ -156,17 +157,17 @@
         return tuple(self._tiers)
 
     def tier_of(self, server: BackendServer) -> int:
-        """The tier of one of the last candidates."""
+        """Return the tier of one of the last candidates."""
         return self._tiers[server]
 
     def record_taken(self, server: BackendServer) -> None:
-        """Count it against the cap of a move, in the step that takes the slot."""
+        """Count the request against the cap of its move; called in the step that takes the slot."""
         if self._route is not None:
             self._route.record_slot_taken(server.address)
 
 
 def is_drained(server: BackendServer, drains: Iterable[Drain]) -> bool:
-    """Whether any drain covers the backend server."""
+    """Return whether any drain covers the backend server."""
     return any(
         server.address == drain.backend_server or server.failure_domain == drain.failure_domain
         for drain in drains
--- a/src/wagtailpoint/daemon/settings_file.py
+++ b/src/wagtailpoint/daemon/settings_file.py
@@ -1,4 +1,4 @@
-"""The settings file while the process runs: read again when it changes."""
+"""Reloads the settings file of a running instance when the file changes."""
 
 import signal
 from collections.abc import Callable
@@ -13,14 +13,14 @@
 from wagtailpoint.observe.log import log_event
 
 POLL_INTERVAL_S: Final = 2.0
-"""How often the file is compared with what was read last: it may change without any signal."""
+"""The file may change without a signal, so it is also polled."""
 
 RELOADABLE_FIELDS: Final = frozenset(("bounds",))
-"""The fields that hold at once; the others (addresses, places) hold from the next start."""
+"""The fields that apply at once; the others (addresses, places) apply from the next start."""
 
 
 class SettingsFile:
-    """Follows the settings file, and holds the newest bounds."""
+    """Follows the settings file and provides the newest bounds."""
 
     def __init__(
         self,
@@ -29,12 +29,12 @@
         settings: NodeSettings,
         read: Callable[[Path], Result[NodeSettings, InvalidInput]],
     ) -> None:
-        """Make it with what was read at the start.
+        """Initialise with the settings that were read at the start.
 
         Args:
-            path: The file.
-            settings: What it said at the start.
-            read: Reads it.
+            path: Path of the settings file.
+            settings: The settings that were read at the start.
+            read: Reads and checks a settings file.
         """
         self._path = path
         self._settings = settings
@@ -43,11 +43,11 @@
 
     @property
     def bounds(self) -> ServiceBounds:
-        """What the operators demand now."""
+        """The operators' bounds that are in force."""
         return self._settings.bounds
 
     async def run(self) -> None:
-        """Read the file again on SIGHUP and when it changed, until cancelled."""
+        """Reload the file on SIGHUP and periodically, until cancelled."""
         with trio.open_signal_receiver(signal.SIGHUP) as signals:
             while True:
                 signalled = False
@@ -57,10 +57,10 @@
                 self.reload(signalled=signalled)
 
     def reload(self, *, signalled: bool) -> None:
-        """Read the file; a wrong one changes nothing.
+        """Read the file; keep the settings in force if it is invalid.
 
         Args:
-            signalled: Whether SIGHUP asked for it; then it is logged also if nothing changed.
+            signalled: Whether SIGHUP requested it; the result is then always logged.
         """
         read = self._read(self._path)
         if isinstance(read, Err):
--- a/src/wagtailpoint/daemon/shared_quarantine.py
+++ b/src/wagtailpoint/daemon/shared_quarantine.py
@@ -1,4 +1,4 @@
-"""The quarantine of an instance, with what shares it: the peers and the store."""
+"""The quarantine of an instance, shared with its peers and the store."""
 
 from random import Random
 from typing import Final
@@ -17,22 +17,23 @@
 from wagtailpoint.quarantine.stored import KIND, StoredQuarantine
 
 READ_INTERVAL_S: Final = 15.0
-"""Peers tell at once what they find; the store is for what all of them have forgotten."""
+"""Peers broadcast new crash reports at once; the store keeps those that no running instance has in
+memory."""
 
 
 class SharedQuarantine:
-    """Requests that crash backend servers, as all instances and the store know them."""
+    """Keeps the requests that crash backend servers in step with peers and the store."""
 
     def __init__(
         self, *, peers: Peers, platform: Platform, membership: Membership, random: Random
     ) -> None:
-        """Make it without any suspect.
+        """Initialise without any suspected request.
 
         Args:
-            peers: The links to the others.
-            platform: The store.
-            membership: Who is there.
-            random: For the jitter.
+            peers: Links to the other instances.
+            platform: The object store.
+            membership: The instances that are known.
+            random: Source of the jitter.
         """
         self._platform = platform
         self._random = random
@@ -48,27 +49,27 @@
 
     @property
     def local(self) -> Quarantine:
-        """What this instance knows."""
+        """The quarantine in the memory of this instance."""
         return self._local
 
     @property
     def gauges(self) -> dict[str, float]:
-        """Values of this moment, for the metrics."""
+        """The current values of the gauges."""
         return {
             "crash_suspects": self._local.suspects,
             "quarantined_requests": len(self._local.stored) + len(self._local.unstored),
         }
 
     def apply_listing(self, state: KindState) -> None:
-        """Take in what the store lists."""
+        """Apply the requests that the store lists as quarantined."""
         self._stored.apply_listing(state)
 
     async def run(self) -> None:
-        """Keep the store up to date until cancelled."""
+        """Write changes of the quarantine to the store until cancelled."""
         await self._stored.run()
 
     async def poll(self) -> None:
-        """Read the store now and then until cancelled, where nobody else follows it."""
+        """Poll the store until cancelled; for instances without a follower of the quarantine."""
         while True:
             listing = await self._platform.list(kind=KIND)
             if isinstance(listing, Ok):
--- a/src/wagtailpoint/daemon/steering.py
+++ b/src/wagtailpoint/daemon/steering.py
@@ -1,4 +1,4 @@
-"""An instance of a deployment on an object store: all its parts, wired together, and its tasks."""
+"""An instance on the platform's object store: construction of its parts, and its tasks."""
 
 import signal
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -53,32 +53,32 @@
 from wagtailpoint.routing.table import DEFAULT_CALLER_BOUNDS, CallerBounds
 
 STORE_TIMEOUT_S = 1.2
-"""The longest wait for an answer of the store; it answers in 4 ms, and 100 times slower when it is
-in trouble. A call that a silent store has swallowed is given up soon after the store's return."""
+"""Time-out of calls to the store, which answers in 4 ms and up to 100 times slower under overload.
+Short, so that calls lost in an outage end soon after the store has recovered."""
 
 CALLERS_FRACTION = 0.7
-"""The part of the file descriptors that callers may use; the rest is for backend servers."""
+"""Fraction of the unreserved file descriptors for callers; the rest is for backend servers."""
 
 RESERVED_DESCRIPTORS = 260
 MAX_PAGE_CONNECTIONS = 200
 MIN_STOP_SERVING_S = 4.0
-"""After SIGTERM callers are still served for so long: twice what a lookup is kept, since some of
-them keep one longer."""
+"""Minimum time of service after SIGTERM, if the grace period allows: twice the TTL of lookups, as
+some callers cache a lookup for longer than its TTL."""
 
 STOP_MARGIN_S = 0.5
-"""The process ends so long before it would be killed."""
+"""The process ends this much earlier than the platform would kill it."""
 
 WITHDRAW_TIMEOUT_S = 0.5
 
 URGENT_LOAD_STEP = 0.25
-"""A load that changed by so much is told to all at once: more instances may have to be entries."""
+"""A larger change of load is broadcast at once, because more entries may be needed."""
 
 
 class SteeringInstance:
-    """One instance."""
+    """Constructs the parts of one instance on the platform and runs their tasks."""
 
     def __init__(self, *, settings: NodeSettings, settings_file: Path) -> None:
-        """Wire its parts together."""
+        """Construct the parts."""
         self._settings = settings
         self._settings_file = SettingsFile(
             path=settings_file, settings=settings, read=read_node_settings
@@ -202,8 +202,8 @@
         self._servers = self._make_servers()
 
     async def run(self) -> None:
-        """Run until a graceful stop has ended."""
-        # Received from here on: the default action would cut the first requests.
+        """Run until a graceful stop is complete."""
+        # Installed before serving: the default action of a signal would cut the first requests.
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             log_event(
                 "started",
@@ -327,7 +327,7 @@
         return sum(member.state != "dead" for member in self._membership.members())
 
     def _count_instances(self) -> int:
-        """How many instances share what is bounded for all together."""
+        """Return how many instances share the common bounds."""
         return self._instance_count.value
 
     def _is_alone(self) -> bool:
@@ -374,7 +374,7 @@
                 await self._pool.close(start)
 
     async def _stop(self) -> None:
-        """Leave the lookups first, serve who still comes, then end without cutting a request."""
+        """Leave the lookups, serve callers with a cached lookup, then wait for open requests."""
         started_at = trio.current_time()
         deadline = started_at + self._settings_file.bounds.grace_s - STOP_MARGIN_S
         self._leaving = True
@@ -395,5 +395,5 @@
 
 
 async def run_steering_instance(settings: NodeSettings, settings_file: Path) -> None:
-    """Run one instance until a graceful stop has ended."""
+    """Run one instance until a graceful stop is complete."""
     await SteeringInstance(settings=settings, settings_file=settings_file).run()
--- a/src/wagtailpoint/daemon/store_state.py
+++ b/src/wagtailpoint/daemon/store_state.py
@@ -1,4 +1,4 @@
-"""What the store says, in force on this instance: routes, backend servers, evacuations."""
+"""Applies routes, backend servers and evacuations from the store on this instance."""
 
 from collections.abc import Callable, Mapping
 from typing import NamedTuple
@@ -15,14 +15,15 @@
 
 
 class StoreState:
-    """Puts what the followers learn in force."""
+    """Decodes the objects that followers read, and puts them in force."""
 
     def __init__(self, *, fleet: Fleet, on_removed: Callable[[ServerStart], None]) -> None:
-        """Make it without any configuration.
+        """Initialise without a configuration.
 
         Args:
-            fleet: The backend servers.
-            on_removed: Called with each backend server that is gone, or has started again.
+            fleet: The backend servers known to this instance.
+            on_removed: Called with each start of a backend server that ended, because the entry was
+                removed or the backend server restarted.
         """
         self._fleet = fleet
         self._on_removed = on_removed
@@ -33,16 +34,16 @@
 
     @property
     def table(self) -> RouteTable | None:
-        """The routes in force; None before the first configuration."""
+        """The route table in force; None before the first configuration."""
         return self._table
 
     @property
     def is_config_readable(self) -> bool:
-        """Whether the newest configuration could be read, and so is the one in force."""
+        """Whether the newest configuration could be decoded and therefore is in force."""
         return self._is_config_readable
 
     def apply_config(self, objects: Mapping[str, StoredObject]) -> None:
-        """Put a newer configuration in force; an older or an unreadable one changes nothing."""
+        """Put a newer configuration in force; ignore an older or unreadable one."""
         stored = objects.get(CONFIG_NAME)
         if stored is None:
             return
@@ -64,14 +65,14 @@
 
     @property
     def unusable_entries(self) -> int:
-        """Entries that name no backend server, as they can't be read."""
+        """The number of entries that can't be decoded, and so stand for no backend server."""
         return sum(decoded.server is None for decoded in self._decoded.values())
 
     def apply_servers(self, objects: Mapping[str, StoredObject]) -> None:
-        """Take in the entries of all backend servers; those that can't be read name none.
+        """Apply the entries of all backend servers; unreadable ones stand for no backend server.
 
-        Only what has changed is looked at: one of hundreds does many times a second, and each time
-        all instances hear of it.
+        Decodes only the entries that changed. One of hundreds changes many times a second, and
+        every change reaches all instances.
         """
         removed = self._decoded.keys() - objects.keys()
         changed = [stored for stored in objects.values() if self._has_changed(stored)]
@@ -92,7 +93,7 @@
             self._on_removed(start)
 
     def apply_evacuations(self, objects: Mapping[str, StoredObject]) -> None:
-        """Send nothing to the failure domains that are named."""
+        """Send no requests to the failure domains that are to be evacuated."""
         services = self._table.services if self._table is not None else {}
         self._fleet.evacuate(frozenset(objects), services)
 
@@ -109,7 +110,7 @@
 
 
 class _Decoded(NamedTuple):
-    """What an entry says at a version; nothing if it can't be read."""
+    """An entry decoded at a version; without a server if it is unreadable."""
 
     version: int
     server: RegisteredServer | None
--- a/src/wagtailpoint/daemon/workspace_rules.py
+++ b/src/wagtailpoint/daemon/workspace_rules.py
@@ -1,4 +1,4 @@
-"""What holds for workspaces on an instance: their keys, as far as proved, and their allowances."""
+"""Enforcement of workspace rules on an instance: API keys and rate allowances."""
 
 from collections.abc import Callable, Mapping
 from random import Random
@@ -23,7 +23,7 @@
 
 
 class WorkspaceRules:
-    """The proof of the configuration, the check of keys and the allowances, wired together."""
+    """Combines the freshness proof of the configuration, the key check and the allowances."""
 
     def __init__(
         self,
@@ -38,18 +38,18 @@
         clock: Clock,
         random: Random,
     ) -> None:
-        """Wire the parts.
+        """Construct the parts.
 
         Args:
-            state: The configuration in force.
-            bounds: What the operators demand.
+            state: Holds the configuration in force.
+            bounds: Returns the operators' bounds.
             region_of: The region of every failure domain.
-            platform: The store.
-            peers: The links to the others.
-            membership: Who is there.
-            is_entry: Whether callers are told to use this instance.
-            clock: Must count suspension.
-            random: For the jitter.
+            platform: The object store.
+            peers: Links to the other instances.
+            membership: The instances that are known.
+            is_entry: Whether lookups name this instance as an entry.
+            clock: Its monotonic time has to advance while the machine is suspended.
+            random: Source of the jitter.
         """
         self._state = state
         self._bounds = bounds
@@ -87,13 +87,18 @@
         self._known_allowances: Mapping[str, Allowance | None] = {}
 
     def set_follower(self, follower: KindFollower, *, is_watcher: Callable[[], bool]) -> None:
-        """Tell what follows the configuration, and whether the others of the region ask here."""
+        """Set what ``run`` needs to prove that the configuration is fresh.
+
+        Args:
+            follower: Follows the configuration.
+            is_watcher: Whether this instance watches the store for its region.
+        """
         self._follower = follower
         self._is_watcher = is_watcher
 
     @property
     def gauges(self) -> dict[str, float]:
-        """Values of this moment, for the metrics."""
+        """The current values of the gauges."""
         return {
             "config_age_seconds": min(self.freshness.age_s, 1e6),
             "workspaces": len(self._allowances()),
@@ -101,10 +106,10 @@
         }
 
     async def run(self) -> None:
-        """Keep proof and slots until cancelled.
+        """Renew the freshness proof and the allowance slots until cancelled.
 
         Raises:
-            ValueError: Nothing follows the configuration yet.
+            ValueError: ``set_follower`` was not called.
         """
         if self._follower is None:
             raise ValueError("follower: given None, expected one from `set_follower`")
@@ -122,17 +127,17 @@
             nursery.start_soon(self.allowances.run)
 
     def record_change(self) -> None:
-        """What the store says has changed."""
+        """Record that objects in the store have changed."""
         self._slots.record_config_change()
         if self._confirmation is not None:
             self._confirmation.on_config_change()
 
     async def release_slots(self) -> None:
-        """Let others have the slots, before this instance leaves."""
+        """Release the allowance slots to other instances before this instance leaves."""
         await self._slots.release()
 
     def _version(self) -> int:
-        """The version of the configuration in force; 0 if the newest one could not be read."""
+        """Return the version in force; 0 if the newest configuration could not be decoded."""
         if self._follower is None or not self._state.is_config_readable:
             return 0
         return self._follower.state.version
