--- a/tests/common/deployment_case.py
+++ b/tests/common/deployment_case.py
@@ -1,4 +1,4 @@
-"""The base of tests against one running deployment, which check all verdicts at their end."""
+"""Base class of tests against a running deployment, which check all verdicts at their end."""
 
 import time
 import unittest
@@ -16,14 +16,14 @@
 
 
 class DeploymentCase(unittest.TestCase):
-    """Starts the deployment once for a class of tests.
+    """Starts one deployment for all tests of a class.
 
     Attributes:
-        ENTRIES: How many entry instances run.
-        TIMINGS: Replaces timings of the settings.
-        SETTINGS: Replaces other settings.
-        BACKEND_OPTIONS: Command line of the backend stand-ins.
-        AT_MOST_ONCE: False where requests are idempotent, so that the entries may repeat them.
+        ENTRIES: Number of entry instances.
+        TIMINGS: Overrides timings of the settings.
+        SETTINGS: Overrides other settings.
+        BACKEND_OPTIONS: Command-line options of the backend stand-ins.
+        AT_MOST_ONCE: False if all requests are idempotent, so that entries may retry them.
     """
 
     ENTRIES: int = 3
@@ -51,7 +51,7 @@
         self.raw = RawCaller()
 
     def run_trio(self, test: Callable[[], Awaitable[None]]) -> None:
-        """Run a test's body, bounded in time, then check every verdict that it heard."""
+        """Run the body of a test with a time-out, then check all verdicts received."""
 
         async def bounded() -> None:
             with trio.fail_after(LIMIT_S):
@@ -61,13 +61,13 @@
         self.check_verdicts()
 
     def check_verdicts(self) -> None:
-        """No false verdict so far, and nothing ran twice."""
+        """Assert that no verdict was false and that no request ran twice if that is forbidden."""
         records = self.records()
         faults = find_false_verdicts(self.raw.heard, records, at_most_once=self.AT_MOST_ONCE)
         self.assertEqual(faults, NO_FAULTS)
 
     def records(self) -> list[Any]:
-        """The records of all backend servers."""
+        """Return the records of all backend servers."""
         return [
             record
             for backends in self.running.backends.values()
@@ -75,22 +75,22 @@
         ]
 
     def count_runs(self, key: str) -> int:
-        """How often a deposit release was executed."""
+        """Return how often the deposit release with this key was executed."""
         return count_executions(self.records())[f"/releases/{key}"]
 
     def set_backends(self, **modes: Any) -> None:
-        """Order faults of all backend servers; none mends them."""
+        """Set the faults of all backend servers; without arguments none changes."""
         for backends in self.running.backends.values():
             backends.set_mode(**modes)
 
     def replace(self, entry: EntryProcess) -> None:
-        """Start a new process at the address of a dead one, and wait until it serves."""
+        """Start a new process at the address of an ended one, and wait until it serves."""
         entry.start()
         entry.wait_ready()
         self.wait_until(lambda: entry.page("status")["config_version"] > 0)
 
     def wait_until(self, holds: Callable[[], bool], limit_s: float = 30.0) -> None:
-        """Wait for a condition; blocks."""
+        """Block until a condition holds; fail after ``limit_s`` seconds."""
         give_up_s = time.monotonic() + limit_s
         while not holds():
             self.assertLess(time.monotonic(), give_up_s, "waited in vain")
--- a/tests/common/deployment_process.py
+++ b/tests/common/deployment_process.py
@@ -1,6 +1,6 @@
 """A whole example deployment as separate processes: platform, backend servers, entry instances.
 
-Used by the demo, the integration tests and the bench, so that all of them run the same programs.
+The demo, the integration tests and the benches use it, so that all of them run the same programs.
 """
 
 import json
@@ -29,11 +29,11 @@
 
 POLL_S = 0.05
 FIRST_MORE = 201
-"""The last number of the first address that no file of an example uses."""
+"""Last octet of the first address that no settings file of an example uses."""
 
 
 class EntryProcess(ModuleProcess):
-    """One entry instance; its settings stay where a replacement finds them."""
+    """One entry instance; its settings file is kept for a restart."""
 
     def __init__(self, *, settings: Settings, settings_file: Path) -> None:
         self.settings = settings
@@ -46,11 +46,11 @@
 
     @property
     def place(self) -> tuple[str, int]:
-        """Where callers and operators reach it."""
+        """Address and port for callers and operators."""
         return self.settings.address, self.settings.port
 
     def page(self, name: str) -> Any:
-        """One of its own pages, decoded; for example ``status``."""
+        """Return a page of its API, decoded; for example ``status``."""
         url = f"http://{self.settings.address}:{self.settings.port}/v1/{name}"
         limit = dict.fromkeys(("connect", "read", "write", "pool"), LIMIT_S)
         answer = httpcore.request("GET", url, extensions={"timeout": limit})
@@ -76,41 +76,41 @@
         )
 
     def control(self, server: BackendAddress, method: str, path: str, value: Any = None) -> Any:
-        """Order a fault of one backend server, or read its record."""
+        """Set faults of one backend server, or read its record."""
         url = f"http://{server}/standin/{path}"
         answer = httpcore.request(method, url, content=msgspec.json.encode(value))
         return msgspec.json.decode(answer.content)
 
     def set_mode(self, **modes: Any) -> None:
-        """Order the same faults of all; see ``backend_worker.Mode``."""
+        """Set the same faults on all backend servers; see ``backend_worker.Mode``."""
         unknown = modes.keys() - Mode.__annotations__.keys()
         if unknown:
-            # The test of a fault that does not exist would pass.
+            # Otherwise a test with a misspelt fault would pass without the fault.
             raise ValueError(f"given the modes {unknown}, expected those of backend_worker.Mode")
         for server in self.servers:
             self.control(server, "POST", "mode", modes)
 
     def records(self) -> dict[BackendAddress, Any]:
-        """The record of each backend server."""
+        """Return the record of each backend server."""
         return {server: self.control(server, "GET", "record") for server in self.servers}
 
 
 def count_live(entry: EntryProcess) -> int:
-    """How many live instances an instance knows, itself among them."""
+    """Return how many live instances an instance knows, itself included."""
     return sum(member["state"] == "live" for member in entry.page("status")["members"])
 
 
 class RunningDeployment:
-    """An example deployment that runs; use as a context manager.
+    """Context manager that runs an example deployment.
 
     Args:
-        name: One of ``examples.deployment.DEPLOYMENTS``.
-        entries: How many of its entry instances run.
-        timings: Replaces timings of the settings.
-        settings: Replaces other settings, for example ``log_level``.
-        limits: Replaces limits of the settings.
-        backend_options: Command line of the backend stand-ins.
-        platform_options: Command line of the platform stand-in.
+        name: Name of a deployment in ``examples.deployment.DEPLOYMENTS``.
+        entries: Number of entry instances.
+        timings: Overrides timings of the settings.
+        settings: Overrides other settings, for example ``log_level``.
+        limits: Overrides limits of the settings.
+        backend_options: Command-line options of the backend stand-ins.
+        platform_options: Command-line options of the platform stand-in.
     """
 
     def __init__(
@@ -156,13 +156,13 @@
 
     @property
     def objects_file(self) -> Path:
-        """A file with all configuration objects, for ``wagtailpoint apply``."""
+        """Path of a file with all configuration objects, for ``wagtailpoint apply``."""
         path = self._directory / "objects.json"
         path.write_text(json.dumps(dict(self.objects)))
         return path
 
     def cli(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        """Run the command-line tool; the exit code is the caller's to check."""
+        """Run the command-line tool without checking its exit code."""
         path = os.pathsep.join([str(ROOT / "src"), str(ROOT)])
         return subprocess.run(
             [sys.executable, "-m", "wagtailpoint.cli", *arguments],
@@ -174,7 +174,7 @@
         )
 
     def apply_objects(self) -> None:
-        """Apply all configuration objects and wait until they are in force everywhere."""
+        """Apply all configuration objects and wait until they are in force on all instances."""
         done = self.cli("apply", str(self.objects_file), "--wait")
         if done.returncode != 0:
             raise RuntimeError(f"apply: exit {done.returncode}\n{done.stdout}{done.stderr}")
@@ -184,11 +184,11 @@
         self._control_platform("POST", "mode", modes)
 
     def platform_counts(self) -> Any:
-        """The platform's calls so far; see ``PlatformProcess.counts``."""
+        """Return the counts of calls to the platform; see ``PlatformProcess.counts``."""
         return self._control_platform("GET", "counts", None)
 
     def set_instances(self, places: Sequence[tuple[str, str]]) -> None:
-        """Set the platform's list of live instances: address and failure domain of each."""
+        """Set the platform's list of live instances, as pairs of address and failure domain."""
         listed = [ListedInstance(address, domain, "live")._asdict() for address, domain in places]
         self._control_platform("PUT", "instances", listed)
 
@@ -199,7 +199,7 @@
         return msgspec.json.decode(answer.content)
 
     def wait_members(self) -> None:
-        """Wait until every instance knows all others to be live."""
+        """Wait until every instance sees all instances as live."""
         give_up_s = time.monotonic() + LIMIT_S
         for entry in self.entries:
             while count_live(entry) < len(self.entries):
@@ -209,7 +209,7 @@
                 time.sleep(POLL_S)
 
     def caller(self, workspace: str, *, address: str | None = None) -> Caller:
-        """A caller that knows all entry instances; by default from the region of the first one."""
+        """Return a caller that knows all entries; by default with the address of the first one."""
         client = address or self.entries[0].settings.address
         places = [entry.place for entry in self.entries]
         return Caller(entries=places, workspace=workspace, address=client, seed=1)
@@ -232,7 +232,7 @@
         self._stack.__exit__(exception_type, exception, traceback)
 
     def _spread(self, count: int) -> Mapping[str, Any]:
-        """Some of the settings files, from as many failure domains as possible."""
+        """Return ``count`` settings files, from as many failure domains as possible."""
         by_domain: dict[str, list[str]] = {}
         for name, value in self._deployment.settings_files.items():
             by_domain.setdefault(value["failure_domain"], []).append(name)
@@ -244,7 +244,7 @@
         return files
 
     def _one_more(self, like: str, number: int) -> Any:
-        """The settings of an instance beyond those of the example, beside one of them."""
+        """Return settings of an additional instance in the failure domain of an existing one."""
         value = self._deployment.settings_files[like]
         address = f"{self._deployment.prefix}.{FIRST_MORE + number}"
         return {**value, "address": address}
--- a/tests/common/entry_case.py
+++ b/tests/common/entry_case.py
@@ -1,4 +1,4 @@
-"""A caller of which a test decides every byte, and a test case with one entry to try it on."""
+"""A caller connection that sends arbitrary bytes, and a test case with one entry."""
 
 import json
 import re
@@ -24,14 +24,14 @@
 
 
 def peak_memory(pid: int) -> int:
-    """The most memory that a process ever had resident, in bytes."""
+    """Return the peak resident memory of a process, in bytes."""
     found = re.search(r"VmHWM:\s+(\d+) kB", Path(f"/proc/{pid}/status").read_text())
     assert found is not None
     return int(found[1]) * 1024
 
 
 class Raw(NamedTuple):
-    """A response as bytes on a socket."""
+    """A response as it was received from a socket."""
 
     status: int
     headers: dict[str, str]
@@ -47,7 +47,7 @@
 
 
 class RawConnection:
-    """A caller's connection of which the test decides every byte."""
+    """A caller's connection that sends arbitrary bytes."""
 
     def __init__(self, place: tuple[str, int], *, receive_buffer: int | None = None) -> None:
         self.socket = socket.socket()
@@ -61,7 +61,7 @@
         self.socket.sendall(text.encode() if isinstance(text, str) else text)
 
     def read(self, *, has_body: bool = True) -> Raw:
-        """Read one final response; those before it (100) are left out."""
+        """Read one final response; skip interim responses (100)."""
         while True:
             status = int(self._file.readline().split()[1])
             lines = iter(lambda: self._file.readline().decode().rstrip("\r\n"), "")
@@ -76,7 +76,7 @@
         return self._file.readline()
 
     def ends(self) -> bool:
-        """Wait for the end of the connection; False if the entry sent something instead."""
+        """Return True when the entry closes the connection, False if it sends data first."""
         try:
             return self._file.read(1) == b""
         except ConnectionResetError:
@@ -88,7 +88,7 @@
 
 
 class EntryTestCase(unittest.TestCase):
-    """One entry instance of a running deployment."""
+    """Test case with one entry instance of a running deployment."""
 
     running: RunningDeployment
     entry: EntryProcess
@@ -134,7 +134,10 @@
         self.assertEqual(value["verdict"], verdict)
 
     def check_unread(self, answer: Raw, status: int) -> None:
-        """A request whose headers were not read may be a copy of one that ran."""
+        """Assert a refusal with ``may-have-run``.
+
+        A request whose headers were not read may be a repetition of one that ran.
+        """
         self.check_refused(answer, status, verdict="may-have-run")
 
     def wait_until(self, holds, what: str) -> None:
--- a/tests/common/node_settings_file.py
+++ b/tests/common/node_settings_file.py
@@ -1,4 +1,4 @@
-"""The settings file that the users' platform would write for a process of a test."""
+"""Settings, configuration and server entries in the formats of the users' platform."""
 
 import copy
 from typing import Any
@@ -27,7 +27,7 @@
     store: Endpoint,
     seeds: tuple[str, ...] = (),
 ) -> dict[str, Any]:
-    """The document for an instance that listens on an address of its own."""
+    """Return the settings document of an instance that listens on ``address``."""
     return copy.deepcopy(
         {
             "Self": {
@@ -56,7 +56,7 @@
 
 
 def config_document(version: str = "00000007", **changes: Any) -> dict[str, Any]:
-    """A configuration with two routes of one host."""
+    """Return a configuration with two routes of one host."""
     route = {
         "Name": "r-1",
         "PathPrefix": "/look/",
@@ -97,7 +97,7 @@
 
 
 def unsplit_config_document(version: str = "00000007", **changes: Any) -> dict[str, Any]:
-    """The same with all requests of both routes for the service ``desk``."""
+    """Return the same configuration with both routes to the service ``desk`` only."""
     document = config_document(version, **changes)
     for host in document["VirtualHosts"]:
         for route in host["PathRoutes"]:
@@ -107,7 +107,7 @@
 
 
 def server_document(address: str, **changes: Any) -> dict[str, Any]:
-    """The entry of a backend server."""
+    """Return the store entry of a backend server."""
     document = {
         "Service": "desk",
         "Address": address,
--- a/tests/common/object_store.py
+++ b/tests/common/object_store.py
@@ -1,4 +1,4 @@
-"""The object store behind both platform stand-ins: the process and the in-memory fake."""
+"""The object store of both platform stand-ins: the process and the in-memory fake."""
 
 import time
 from collections import deque
@@ -11,7 +11,7 @@
 
 
 class _Record(NamedTuple):
-    """One change and when it was made."""
+    """A change and its time."""
 
     at_s: float
     event: WatchEvent
@@ -35,11 +35,11 @@
 
     @property
     def version(self) -> int:
-        """The version of the newest write."""
+        """The version of the last write."""
         return self._version
 
     def copy(self) -> "ObjectStore":
-        """A copy that later writes don't change: what a lagging replica answers."""
+        """Return an independent copy, which serves as a lagging replica."""
         copy = ObjectStore(most_events=self._most_events, monotonic=self._monotonic)
         copy._objects = dict(self._objects)
         copy._history = deque(self._history)
@@ -48,15 +48,15 @@
         return copy
 
     def get(self, kind: str, name: str) -> StoredObject | None:
-        """One object, or None."""
+        """Return an object, or None if it does not exist."""
         return self._objects.get((kind, name))
 
     def list(self, kind: str) -> Sequence[StoredObject]:
-        """All objects of a kind, by name."""
+        """Return all objects of a kind, sorted by name."""
         return [self._objects[key] for key in sorted(self._objects) if key[0] == kind]
 
     def put(self, kind: str, name: str, value: Any, if_version: int) -> StoredObject | Conflict:
-        """Write if the object is at ``if_version``; 0: if it does not exist."""
+        """Write an object if it is at ``if_version``; 0 means that it must not exist."""
         current = self.get(kind, name)
         if (current.version if current else 0) != if_version:
             return Conflict(current)
@@ -67,7 +67,7 @@
         return stored
 
     def delete(self, kind: str, name: str, if_version: int) -> Conflict | None:
-        """Delete if the object is at ``if_version``."""
+        """Delete an object if it is at ``if_version``."""
         current = self.get(kind, name)
         if current is None or current.version != if_version:
             return Conflict(current)
@@ -84,7 +84,11 @@
     def events_since(
         self, kinds: Sequence[str], from_version: int, *, lag_s: float = 0.0
     ) -> WatchBatch | None:
-        """Events after ``from_version`` that are at least ``lag_s`` old; None: too old to tell."""
+        """Return the events after ``from_version`` that are at least ``lag_s`` seconds old.
+
+        Returns None if the history does not reach back to ``from_version``, or if that version
+        does not exist yet.
+        """
         if from_version < self._forgotten_version or from_version > self._version:
             return None
         visible_until_s = self._monotonic() - lag_s
--- a/tests/common/platform_process.py
+++ b/tests/common/platform_process.py
@@ -1,4 +1,4 @@
-"""The platform stand-in as a process of a test, with its faults as methods."""
+"""The platform stand-in as a process of a test, with methods to control its faults."""
 
 import random
 from collections.abc import Sequence
@@ -15,12 +15,12 @@
 
 
 def fresh_address() -> str:
-    """A loopback address that no other test uses, so that fixed ports don't collide."""
+    """Return a random loopback address, so that fixed ports of tests don't collide."""
     return "127." + ".".join(str(_NUMBERS.randint(1, 250)) for _ in range(3))
 
 
 class PlatformProcess(ModuleProcess):
-    """``tests.common.platform_standin`` on a fresh address."""
+    """Runs ``tests.common.platform_standin`` on a random loopback address."""
 
     def __init__(self, *arguments: str) -> None:
         address = fresh_address()
@@ -41,7 +41,7 @@
         self._control("PUT", "instances", [instance._asdict() for instance in listed])
 
     def counts(self) -> Any:
-        """The calls so far: ``{"calls": {KIND: {METHOD: COUNT}}, "refused", "total"}``."""
+        """Return the calls so far: ``{"calls": {KIND: {METHOD: COUNT}}, "refused", "total"}``."""
         return self._control("GET", "counts", None)
 
     def _control(self, method: str, path: str, value: Any) -> Any:
--- a/tests/common/platform_standin.py
+++ b/tests/common/platform_standin.py
@@ -1,8 +1,8 @@
-"""A small stand-in for the platform as a process, with faults that a test switches on.
+"""A stand-in process for the platform, with faults that tests switch on.
 
     python -m tests.common.platform_standin --address 127.1.2.3 --port 9000
 
-Beside the object API: ``POST /standin/mode`` (see ``Modes``), ``GET /standin/counts`` and
+Besides the object API it serves ``POST /standin/mode`` (see ``Modes``), ``GET /standin/counts`` and
 ``PUT /standin/instances``.
 """
 
@@ -24,15 +24,16 @@
 
 
 class Modes(TypedDict, total=False):
-    """The faults.
+    """The faults that can be switched on.
 
     Attributes:
-        down: Every call's connection is closed without an answer, also those of waiting watches.
-        slow_s: Every call takes this much longer, in seconds.
-        lose_answers: So many next writes take effect, but their connection is closed instead.
-        stale_watch_s: Watches see a change so many seconds late.
-        reject_rate: The part of calls (0 to 1) answered 429.
-        instances_lag_s: The list of instances shows a change so many seconds late.
+        down: Connections of all calls, waiting watches included, are closed without an answer.
+        slow_s: Additional duration of every call, in seconds.
+        lose_answers: Number of next writes that take effect but get no answer; their connections
+            are closed.
+        stale_watch_s: Delay of changes in watches, in seconds.
+        reject_rate: Fraction of calls (0 to 1) that are answered with status 429.
+        instances_lag_s: Delay of changes in the list of instances, in seconds.
     """
 
     down: bool
@@ -44,12 +45,12 @@
 
 
 def as_wire(stored: StoredObject | None) -> dict[str, Any] | None:
-    """An object as it is sent."""
+    """Return an object in the format of the platform's HTTP interface."""
     return stored._asdict() if stored else None
 
 
 class Standin:
-    """The object API and its faults."""
+    """Implements the object API and its faults."""
 
     def __init__(self, *, most_calls_per_s: float | None) -> None:
         self._store = ObjectStore(monotonic=trio.current_time)
@@ -68,7 +69,7 @@
         """Answer one request.
 
         Raises:
-            NoAnswer: The connection is to be closed instead.
+            NoAnswer: The connection has to be closed without an answer.
         """
         if call.path[0] == "standin":
             return self._control(call)
--- a/tests/common/processes.py
+++ b/tests/common/processes.py
@@ -1,12 +1,12 @@
-"""Start a Python module as a process of its own for a test, and always end it.
+"""Run Python modules as separate processes of a test, and always end them.
 
     with ModuleProcess(module="tests.common.platform_standin",
                        arguments=["--address", address, "--port", "9000"],
                        address=address, port=9000) as process:
         process.freeze()
 
-The methods block. In a trio test call them by ``trio.to_thread.run_sync`` where the test's own
-tasks have to go on meanwhile.
+The methods block. In a trio test call them with ``trio.to_thread.run_sync`` if other tasks of the
+test have to run meanwhile.
 """
 
 import atexit
@@ -30,14 +30,14 @@
 
 
 class ModuleProcess:
-    """``python -m MODULE ARGUMENTS`` as a context manager: ready on entry, ended on exit.
+    """Context manager for ``python -m MODULE ARGUMENTS``: ready on entry, ended on exit.
 
     Args:
-        module: For example ``wagtailpoint.daemon.main``.
-        arguments: Its command line.
-        address: The address on which it will listen; used to wait until it is ready.
-        port: The TCP port on which it will listen; None if there is nothing to wait for.
-        environment: Variables added to those of the test.
+        module: Name of the module, for example ``wagtailpoint.daemon.main``.
+        arguments: Command-line arguments.
+        address: Address on which the process listens; used to wait until it is ready.
+        port: TCP port on which the process listens; None to not wait for it.
+        environment: Environment variables added to those of the test.
     """
 
     def __init__(
@@ -63,12 +63,12 @@
 
     @property
     def exit_code(self) -> int | None:
-        """The exit code, or None while it runs; minus the number of the signal that ended it."""
+        """The exit code, or minus the number of the signal that ended it; None while it runs."""
         return self._running.poll()
 
     @property
     def log(self) -> str:
-        """Everything that it wrote to standard output and standard error."""
+        """The standard output and standard error of the process so far."""
         if self._log_file is None:
             return ""
         return Path(self._log_file.name).read_text(errors="replace")
@@ -80,11 +80,11 @@
         return self._process
 
     def start(self) -> None:
-        """Start it without waiting; call again after its end for a replacement."""
+        """Start the process without waiting; may be called again after its end to restart it."""
         if self._process is not None and self._process.poll() is None:
             raise RuntimeError(f"{self._command} runs already as {self._process.pid}")
         if self._log_file is None:
-            # Kept open over restarts; closed, and so removed, by _end().
+            # Kept open across restarts; closed, and so removed, by _end().
             self._log_file = tempfile.NamedTemporaryFile(suffix=".log")  # noqa: SIM115
         path = os.pathsep.join([str(ROOT / "src"), str(ROOT)])
         self._process = subprocess.Popen(
@@ -98,10 +98,10 @@
         atexit.register(self.kill)
 
     def wait_ready(self, limit_s: float = LIMIT_S) -> None:
-        """Wait until its TCP port answers.
+        """Wait until the TCP port accepts connections.
 
         Raises:
-            RuntimeError: It ended, or is not ready within ``limit_s`` seconds; with its log.
+            RuntimeError: The process ended or is not ready after ``limit_s`` seconds; has its log.
         """
         give_up_s = time.monotonic() + limit_s
         while self._port is not None and not self._answers():
@@ -119,7 +119,7 @@
         return True
 
     def wait_log(self, text: str, limit_s: float = LIMIT_S) -> None:
-        """Wait until its log contains ``text``."""
+        """Wait until the log contains ``text``."""
         give_up_s = time.monotonic() + limit_s
         while text not in self.log:
             if time.monotonic() > give_up_s:
@@ -130,19 +130,19 @@
         return self.log[-_LOG_TAIL_CHARACTERS:]
 
     def freeze(self) -> None:
-        """Stop its execution (SIGSTOP), as a paused machine does."""
+        """Suspend the process (SIGSTOP), as on a paused machine."""
         self._running.send_signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let a frozen process go on (SIGCONT)."""
+        """Resume a suspended process (SIGCONT)."""
         self._running.send_signal(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Ask it to stop (SIGTERM) without waiting."""
+        """Send SIGTERM without waiting for the end."""
         self._running.send_signal(signal.SIGTERM)
 
     def wait(self, limit_s: float = LIMIT_S) -> int:
-        """Wait for its end.
+        """Wait until the process ends.
 
         Returns:
             The exit code.
@@ -150,12 +150,12 @@
         return self._running.wait(limit_s)
 
     def stop(self, limit_s: float = LIMIT_S) -> int:
-        """Ask it to stop (SIGTERM) and wait for its exit code."""
+        """Send SIGTERM, wait for the end and return the exit code."""
         self.terminate()
         return self.wait(limit_s)
 
     def kill(self) -> None:
-        """End it at once (SIGKILL), also when frozen, and wait until it is gone."""
+        """Send SIGKILL, which also ends a suspended process, and wait until it has ended."""
         atexit.unregister(self.kill)
         if self._process is not None:
             self._process.kill()
@@ -189,7 +189,7 @@
 
 @contextmanager
 def started_together(*processes: ModuleProcess) -> Iterator[None]:
-    """Start several processes at the same time, wait until all are ready, and end all."""
+    """Start processes concurrently, wait until all are ready, and end all on exit."""
     with ExitStack() as stack:
         for process in processes:
             stack.push(process.__exit__)
--- a/tests/common/small_config.py
+++ b/tests/common/small_config.py
@@ -1,4 +1,4 @@
-"""A small configuration with three regions, for tests of decisions."""
+"""A small configuration with three regions, for unit tests."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -27,7 +27,7 @@
 
 
 def small_servers(group: str, count: int) -> tuple[BackendServer, ...]:
-    """So many backend servers in each region, half of them in each failure domain."""
+    """Return ``count`` backend servers per region, alternating between its failure domains."""
     place = {"old": 1, "new": 2}[group]
     return tuple(
         BackendServer(
@@ -48,7 +48,10 @@
     moves: Sequence[Move] = (),
     drains: Sequence[Drain] = (),
 ) -> EffectiveConfig:
-    """Three regions, one service with the groups ``old`` and ``new``, one workspace on ``old``."""
+    """Return a configuration of three regions, one service and one workspace.
+
+    The service has the groups ``old`` and ``new``; the workspace uses ``old``.
+    """
     regions = {
         name: Region(
             name=name,
@@ -79,13 +82,13 @@
 
 
 def small_move(**changes: Any) -> Move:
-    """A move of the workspace from ``old`` to ``new``."""
+    """Return a move of the workspace from ``old`` to ``new``."""
     move = Move("shift", WORKSPACE, SERVICE, "old", "new", 100.0, (0.1, 0.5, 1.0), 10.0, "run")
     return move._replace(**changes)
 
 
 def small_plan(config: EffectiveConfig, *, deadline: float = 0.0, affinity: str = "") -> Plan:
-    """A request of the workspace."""
+    """Return the plan of a request of the workspace."""
     workspace = config.workspaces[WORKSPACE]
     service = config.services[SERVICE]
     policy = service.classes["check"]
@@ -93,7 +96,7 @@
 
 
 def idle_board(clock: Clock, *, cap_fraction: float = 1.0) -> MoveBoard:
-    """A board of moves without any."""
+    """Return a move board without moves."""
     hybrid = HybridClock(wall=clock.wall)
     timeline = Timeline(clock=hybrid, instance="test", most_events=100)
     return MoveBoard(clock=clock, timeline=timeline, cap_fraction=lambda: cap_fraction)
--- a/tests/common/steering_group.py
+++ b/tests/common/steering_group.py
@@ -1,4 +1,4 @@
-"""Several instances on the users' platform as real processes, for tests."""
+"""Several instances on the users' platform as real processes."""
 
 import json
 import tempfile
@@ -19,7 +19,7 @@
 
 
 class Instance:
-    """One process and where it listens."""
+    """The process of an instance and its address."""
 
     def __init__(self, *, address: str, process: ModuleProcess) -> None:
         self.address = address
@@ -27,27 +27,27 @@
 
     @property
     def watches(self) -> bool:
-        """Whether it watches the store itself, by its last word on that."""
+        """Whether it watches the store itself, according to its last log line on that."""
         said = [line for line in self.process.log.splitlines() if "event=watching " in line]
         return bool(said) and "itself=True" in said[-1]
 
     async def status_of(self, target: str) -> int:
-        """The status of a request; 0 if no connection could be made."""
+        """Return the status of a request; 0 if the connection failed."""
         return (await ask(self.address, CALLER_PORT, target, "X-Attempt-Id: a1"))[0]
 
     async def serves(self) -> int:
-        """The status of a good request."""
+        """Return the status of a valid request."""
         return await self.status_of("/look/1")
 
     async def named(self) -> set[str]:
-        """The entries that it names in a lookup."""
+        """Return the addresses of the entries that its lookup answer contains."""
         target = f"/api/resolve?Name={HOST}&Region=a&Zone=a-1"
         _, body = await ask(self.address, LOOKUP_PORT, target)
         return set(json.loads(body)["Addresses"]) if body.startswith(b"{") else set()
 
 
 async def ask(address: str, port: int, target: str, *headers: str) -> tuple[int, bytes]:
-    """Send one GET; status 0 if no connection could be made."""
+    """Send a GET; return status and body, with status 0 if the connection failed."""
     try:
         stream = await trio.open_tcp_stream(address, port)
     except OSError:
@@ -62,26 +62,26 @@
 
 
 async def until(holds: Callable[[], Awaitable[bool]], limit_s: float, what: str) -> None:
-    """Wait until something holds.
+    """Wait until a condition holds.
 
     Raises:
-        AssertionError: It does not within ``limit_s`` seconds.
+        AssertionError: The condition does not hold within ``limit_s`` seconds.
     """
     with trio.move_on_after(limit_s):
-        while not await holds():  # noqa: ASYNC110 - it is in other processes
+        while not await holds():  # noqa: ASYNC110 - other processes decide it
             await trio.sleep(0.05)
         return
     raise AssertionError(f"not within {limit_s} s: {what}")
 
 
 async def all_serve(instances: Sequence[Instance], status: int) -> bool:
-    """Whether each of the instances answers with this status."""
+    """Return whether all instances answer a valid request with this status."""
     return all([await each.serves() == status for each in instances])
 
 
 @asynccontextmanager
 async def steering_group(store: Endpoint, count: int) -> AsyncIterator[list[Instance]]:
-    """Run so many instances of one failure domain, without waiting until they serve."""
+    """Run ``count`` instances in one failure domain, without waiting until they serve."""
     with ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         addresses = [loopback_address() for _ in range(count)]
--- a/tests/common/users_store.py
+++ b/tests/common/users_store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the users' object store, in memory, spoken to over HTTP as their pages say."""
+"""An in-memory stand-in for the users' object store, with the HTTP interface of the real one."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -15,12 +15,12 @@
 
 
 class UsersStore:
-    """Objects by kind and name, with one revision counter, and watches.
+    """Serves objects by kind and name, with one revision counter and watches.
 
     Attributes:
-        refuse: Every call is answered with this status, if it is set.
-        history_from: Watches from an older revision get a 410.
-        calls: The request lines, as they came.
+        refuse: If set, the status with which every call is answered.
+        history_from: Watches from an older revision are answered with status 410.
+        calls: Method and target of each request, in order of arrival.
     """
 
     def __init__(self) -> None:
@@ -34,11 +34,11 @@
 
     @property
     def revision(self) -> int:
-        """Of the last change."""
+        """The revision of the last change."""
         return self._revision
 
     def put(self, kind: str, name: str, spec: Any) -> None:
-        """Write an object, as an operator or a backend server does."""
+        """Write an object, as operators and backend servers do."""
         self._revision += 1
         made = {"Metadata": {"Name": name, "Revision": self._revision}, "Spec": spec}
         self._objects[kind, name] = made
@@ -51,22 +51,22 @@
         self._tell(kind, {"Object": gone, "Deleted": True})
 
     def spec(self, kind: str, name: str) -> Any:
-        """What an object holds; None if there is none."""
+        """Return the spec of an object; None if the object does not exist."""
         found = self._objects.get((kind, name))
         return None if found is None else found["Spec"]
 
     def names(self, kind: str) -> list[str]:
-        """The names of all objects of a kind."""
+        """Return the sorted names of all objects of a kind."""
         return sorted(name for each, name in self._objects if each == kind)
 
     def end_watches(self) -> None:
-        """Answer all waiting watches now."""
+        """Wake all waiting watches, which then check for events and refusal."""
         changed, self._changed = self._changed, trio.Event()
         changed.set()
 
     @asynccontextmanager
     async def serve(self) -> AsyncIterator[Endpoint]:
-        """Listen until the context ends."""
+        """Listen until the context exits; yield the endpoint."""
         async with scripted_server(self._connection) as address:
             yield Endpoint(address.address, address.port)
 
--- a/tests/cover/test_config_state.py
+++ b/tests/cover/test_config_state.py
@@ -1,4 +1,4 @@
-"""Bringing a configuration into force without holding up requests."""
+"""Putting configurations in force without blocking requests."""
 
 import threading
 import unittest
@@ -53,10 +53,10 @@
         trio.run(main)
 
     def test_requests_go_on_while_blocks_are_read(self) -> None:
-        """Every lookup of an instance waits for seconds, and its peers suspect it.
+        """Guards against a blocked event loop when client blocks change or an instance starts.
 
-        Symptom: an instance that starts, or whose client blocks change, answers nobody for 5 s at
-        440,000 blocks. Cause: the configuration was compiled and the table built on the event loop.
+        Failure: with 440,000 blocks the instance answers no lookup for 5 s, and its peers suspect
+        it. Cause: the configuration is compiled and the table built on the event loop.
         """
         preparing, request_was_served = threading.Event(), threading.Event()
         went_on: list[bool] = []
--- a/tests/cover/test_observing.py
+++ b/tests/cover/test_observing.py
@@ -1,4 +1,4 @@
-"""Metrics, their text format, and what is said of requests on the time line."""
+"""Metrics and their text format, timeline events of requests, log lines, API pages."""
 
 import unittest
 from contextlib import redirect_stdout
@@ -110,7 +110,7 @@
         self.assertIn("level=INFO event=seat-taken seat=a-1 instance=e", written.getvalue())
 
     def test_value_can_not_forge_a_line(self) -> None:
-        """Symptom: the log shows an event that never was. Cause: a line break in a header."""
+        """Guards against forged log lines, made by a line break in the value of a header."""
         line = self.line(reason="a\r\nlevel=ERROR event=forged\x1b\u2028")
         self.assertEqual(len(line.splitlines()), 1, line)
 
--- a/tests/cover/test_processor_load.py
+++ b/tests/cover/test_processor_load.py
@@ -1,4 +1,4 @@
-"""How busy a process says it is."""
+"""Measurement of the processor load of a process."""
 
 import unittest
 from collections.abc import Callable
@@ -20,7 +20,7 @@
         trio.run(run, clock=self.clock)
 
     def work(self, load: ProcessorLoad, *, seconds: float, busy: float) -> float:
-        """Be busy for a part of each tenth of a second; return what is read at the end."""
+        """Be busy for a fraction of each 0.1 s; return the last load that was read."""
         value = 0.0
         for _ in range(round(seconds * 10)):
             self.clock.jump(0.1 * busy)
@@ -37,7 +37,7 @@
         self.run_with(test)
 
     def test_rises_within_a_second_and_falls_in_many(self) -> None:
-        """Callers come in a burst, and in the next one too."""
+        """Callers arrive in bursts, so a fall of the load may be short."""
 
         def test(load: ProcessorLoad) -> None:
             self.assertGreater(self.work(load, seconds=1, busy=0.8), 0.5)
--- a/tests/cover/test_settings_file.py
+++ b/tests/cover/test_settings_file.py
@@ -1,4 +1,4 @@
-"""The settings file while the process runs."""
+"""Reloading the settings file of a running instance."""
 
 import json
 import tempfile
@@ -39,9 +39,9 @@
         self.path.write_text(json.dumps(self.document))
 
     def test_bounds_hold_at_once(self) -> None:
-        """Symptom: the shared budget is overdrawn after the operators have lowered it.
+        """Guards against overdrawing the shared retry budget after operators have lowered it.
 
-        Sequence: the file changes without any signal. Cause: bounds were read at the start only.
+        Sequence: the file changes without a signal. Cause: bounds are read only at the start.
         """
         self.write(BudgetSlack=10, ColdOverage=1.1)
         self.file.reload(signalled=False)
--- a/tests/cover/test_store_state.py
+++ b/tests/cover/test_store_state.py
@@ -1,4 +1,4 @@
-"""What the store says, put in force: entries of others than backend servers disturb nothing."""
+"""Applying server entries from the store, unreadable and outdated ones included."""
 
 import unittest
 from unittest.mock import patch
@@ -27,7 +27,7 @@
         self.version = 0
 
     def apply(self, **values) -> list[str]:
-        """Put entries in force, each a document or what stands in its place; who is used then."""
+        """Apply entries, each a document or an invalid value; return the ids of the candidates."""
 
         async def apply() -> None:
             self.version += 1
@@ -45,10 +45,10 @@
         return server_document("10.1.2.3:80") | changes
 
     def test_entry_of_another_writer_names_none_and_disturbs_none(self) -> None:
-        """Symptom: requests are sent to what an entry named before somebody wrote over it.
+        """Guards against requests to the former backend server of an overwritten entry.
 
-        Sequence: an entry is written over with something else. Cause: the last one that could be
-        read stayed in use.
+        Sequence: an entry is overwritten with an invalid value. Cause: its last readable value
+        stays in use.
         """
         self.assertEqual(self.apply(i_1=self.server(), i_2=self.server()), ["i_1", "i_2"])
         garbage: object
@@ -59,11 +59,11 @@
         self.assertEqual(self.state.unusable_entries, 0)
 
     def test_one_change_of_hundreds_is_one_piece_of_work(self) -> None:
-        """Symptom: a troubled day of 195 instances takes a fifth more processor time than it needs.
+        """Guards against decoding all entries and sorting all candidates at each change.
 
-        Sequence: backend servers come and go, several a second, and all instances hear of each.
-        Cause: each time all entries were looked at, and all candidates sorted, also by the
-        instances that get no requests.
+        Failure: 195 instances use a fifth more processor time than needed. Sequence: backend
+        servers come and go several times a second, and every change reaches all instances. Cause:
+        each change costs work for all entries, even on instances that get no requests.
         """
         documents = {f"i_{n}": self.server(Sequence=n) for n in range(400)}
         objects = {
--- a/tests/integration/test_processes.py
+++ b/tests/integration/test_processes.py
@@ -1,4 +1,4 @@
-"""The helper that starts processes for tests."""
+"""The helper class that starts processes for tests."""
 
 import signal
 import unittest
--- a/tests/integration/test_whole_path.py
+++ b/tests/integration/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path with real processes: tool, platform, entries, backend servers, caller."""
+"""End-to-end requests with real processes: command line, platform, entries, backend servers."""
 
 import json
 import unittest
