--- a/tests/common/deployment_case.py
+++ b/tests/common/deployment_case.py
@@ -11,8 +11,8 @@
 from tests.common.raw_caller import RawCaller
 from tests.common.verdict_check import NO_FAULTS, count_executions, find_false_verdicts
 
-LIMIT_S = 90.0
-POLL_S = 0.05
+TEST_TIMEOUT_S = 90.0
+POLL_INTERVAL_S = 0.05
 
 
 class DeploymentCase(unittest.TestCase):
@@ -54,7 +54,7 @@
         """Run the body of a test with a time-out, then check all verdicts received."""
 
         async def bounded() -> None:
-            with trio.fail_after(LIMIT_S):
+            with trio.fail_after(TEST_TIMEOUT_S):
                 await test()
 
         trio.run(bounded)
@@ -89,9 +89,9 @@
         entry.wait_ready()
         self.wait_until(lambda: entry.page("status")["config_version"] > 0)
 
-    def wait_until(self, holds: Callable[[], bool], limit_s: float = 30.0) -> None:
+    def wait_until(self, condition: Callable[[], bool], limit_s: float = 30.0) -> None:
         """Block until a condition holds; fail after ``limit_s`` seconds."""
-        give_up_s = time.monotonic() + limit_s
-        while not holds():
-            self.assertLess(time.monotonic(), give_up_s, "waited in vain")
-            time.sleep(POLL_S)
+        deadline_s = time.monotonic() + limit_s
+        while not condition():
+            self.assertLess(time.monotonic(), deadline_s, "waited in vain")
+            time.sleep(POLL_INTERVAL_S)
--- a/tests/common/deployment_process.py
+++ b/tests/common/deployment_process.py
@@ -27,8 +27,8 @@
 from wagtailpoint.ports.platform import ListedInstance
 from wagtailpoint.settings import Settings, check_settings
 
-POLL_S = 0.05
-FIRST_MORE = 201
+POLL_INTERVAL_S = 0.05
+FIRST_EXTRA_OCTET = 201
 """Last octet of the first address that no settings file of an example uses."""
 
 
@@ -62,13 +62,13 @@
 
     def __init__(self, *, service: str, servers: Sequence[BackendAddress], options: Sequence[str]):
         first = servers[0]
-        also = [text for server in servers[1:] for text in ("--also", str(server))]
+        more_servers = [text for server in servers[1:] for text in ("--also", str(server))]
         self.servers = tuple(servers)
         super().__init__(
             module="tests.common.backend_standin",
             arguments=[
                 *("--address", first.address, "--port", str(first.port), "--service", service),
-                *also,
+                *more_servers,
                 *options,
             ],
             address=first.address,
@@ -128,7 +128,7 @@
         self._deployment = load_deployment(name, prefix=prefix)
         self._stack = ExitStack()
         self._directory = Path(self._stack.enter_context(tempfile.TemporaryDirectory()))
-        files = self._spread(entries)
+        files = self._select_settings_files(entries)
         changes = {"timings": timings or {}, "limits": limits or {}}
         files = {name: {**value, **(settings or {})} for name, value in files.items()}
         self.entries = [self._entry(file, value, changes) for file, value in files.items()]
@@ -175,9 +175,9 @@
 
     def apply_objects(self) -> None:
         """Apply all configuration objects and wait until they are in force on all instances."""
-        done = self.cli("apply", str(self.objects_file), "--wait")
-        if done.returncode != 0:
-            raise RuntimeError(f"apply: exit {done.returncode}\n{done.stdout}{done.stderr}")
+        result = self.cli("apply", str(self.objects_file), "--wait")
+        if result.returncode != 0:
+            raise RuntimeError(f"apply: exit {result.returncode}\n{result.stdout}{result.stderr}")
 
     def set_platform(self, **modes: Any) -> None:
         """Switch faults of the platform on or off; see ``platform_standin.Modes``."""
@@ -200,13 +200,16 @@
 
     def wait_members(self) -> None:
         """Wait until every instance sees all instances as live."""
-        give_up_s = time.monotonic() + LIMIT_S
+        deadline_s = time.monotonic() + LIMIT_S
         for entry in self.entries:
             while count_live(entry) < len(self.entries):
-                if time.monotonic() > give_up_s:
-                    seen = [(m["address"], m["state"]) for m in entry.page("status")["members"]]
+                if time.monotonic() > deadline_s:
+                    seen = [
+                        (member["address"], member["state"])
+                        for member in entry.page("status")["members"]
+                    ]
                     raise RuntimeError(f"{entry.place} sees {seen}")
-                time.sleep(POLL_S)
+                time.sleep(POLL_INTERVAL_S)
 
     def caller(self, workspace: str, *, address: str | None = None) -> Caller:
         """Return a caller that knows all entries; by default with the address of the first one."""
@@ -231,7 +234,7 @@
     ) -> None:
         self._stack.__exit__(exception_type, exception, traceback)
 
-    def _spread(self, count: int) -> Mapping[str, Any]:
+    def _select_settings_files(self, count: int) -> Mapping[str, Any]:
         """Return ``count`` settings files, from as many failure domains as possible."""
         by_domain: dict[str, list[str]] = {}
         for name, value in self._deployment.settings_files.items():
@@ -240,13 +243,13 @@
         order = [names[i] for i in range(rounds) for names in by_domain.values() if i < len(names)]
         files = {name: self._deployment.settings_files[name] for name in order[:count]}
         for number in range(count - len(order)):
-            files[f"more-{number}"] = self._one_more(order[number % len(order)], number)
+            files[f"more-{number}"] = self._extra_settings(order[number % len(order)], number)
         return files
 
-    def _one_more(self, like: str, number: int) -> Any:
+    def _extra_settings(self, original: str, number: int) -> Any:
         """Return settings of an additional instance in the failure domain of an existing one."""
-        value = self._deployment.settings_files[like]
-        address = f"{self._deployment.prefix}.{FIRST_MORE + number}"
+        value = self._deployment.settings_files[original]
+        address = f"{self._deployment.prefix}.{FIRST_EXTRA_OCTET + number}"
         return {**value, "address": address}
 
     def _entry(self, name: str, value: Any, changes: Mapping[str, Any]) -> EntryProcess:
--- a/tests/common/entry_case.py
+++ b/tests/common/entry_case.py
@@ -25,9 +25,9 @@
 
 def peak_memory(pid: int) -> int:
     """Return the peak resident memory of a process, in bytes."""
-    found = re.search(r"VmHWM:\s+(\d+) kB", Path(f"/proc/{pid}/status").read_text())
-    assert found is not None
-    return int(found[1]) * 1024
+    match = re.search(r"VmHWM:\s+(\d+) kB", Path(f"/proc/{pid}/status").read_text())
+    assert match is not None
+    return int(match[1]) * 1024
 
 
 class Raw(NamedTuple):
@@ -140,10 +140,10 @@
         """
         self.check_refused(answer, status, verdict="may-have-run")
 
-    def wait_until(self, holds, what: str) -> None:
-        give_up = time.monotonic() + LIMIT_S
-        while not holds():
-            self.assertLess(time.monotonic(), give_up, what)
+    def wait_until(self, condition, what: str) -> None:
+        deadline = time.monotonic() + LIMIT_S
+        while not condition():
+            self.assertLess(time.monotonic(), deadline, what)
             time.sleep(0.05)
 
     def open_requests(self) -> int:
--- a/tests/common/object_store.py
+++ b/tests/common/object_store.py
@@ -13,7 +13,7 @@
 class _Record(NamedTuple):
     """A change and its time."""
 
-    at_s: float
+    time_s: float
     event: WatchEvent
 
 
@@ -30,7 +30,7 @@
         self._history: deque[_Record] = deque()
         self._most_events = most_events
         self._monotonic = monotonic
-        self._forgotten_version = 0
+        self._last_discarded_version = 0
         self._version = 0
 
     @property
@@ -43,7 +43,7 @@
         copy = ObjectStore(most_events=self._most_events, monotonic=self._monotonic)
         copy._objects = dict(self._objects)
         copy._history = deque(self._history)
-        copy._forgotten_version = self._forgotten_version
+        copy._last_discarded_version = self._last_discarded_version
         copy._version = self._version
         return copy
 
@@ -63,7 +63,7 @@
         self._version += 1
         stored = StoredObject(kind, name, self._version, value)
         self._objects[kind, name] = stored
-        self._remember("put", stored)
+        self._append_event("put", stored)
         return stored
 
     def delete(self, kind: str, name: str, if_version: int) -> Conflict | None:
@@ -73,13 +73,13 @@
             return Conflict(current)
         self._version += 1
         del self._objects[kind, name]
-        self._remember("delete", current._replace(version=self._version))
+        self._append_event("delete", current._replace(version=self._version))
         return None
 
-    def _remember(self, action: Literal["put", "delete"], stored: StoredObject) -> None:
+    def _append_event(self, action: Literal["put", "delete"], stored: StoredObject) -> None:
         self._history.append(_Record(self._monotonic(), WatchEvent(action, stored)))
         if len(self._history) > self._most_events:
-            self._forgotten_version = self._history.popleft().event.stored.version
+            self._last_discarded_version = self._history.popleft().event.stored.version
 
     def events_since(
         self, kinds: Sequence[str], from_version: int, *, lag_s: float = 0.0
@@ -89,13 +89,13 @@
         Returns None if the history does not reach back to ``from_version``, or if that version
         does not exist yet.
         """
-        if from_version < self._forgotten_version or from_version > self._version:
+        if from_version < self._last_discarded_version or from_version > self._version:
             return None
         visible_until_s = self._monotonic() - lag_s
-        seen = [
+        visible = [
             record.event
             for record in self._history
-            if record.event.stored.version > from_version and record.at_s <= visible_until_s
+            if record.event.stored.version > from_version and record.time_s <= visible_until_s
         ]
-        version = seen[-1].stored.version if seen else from_version
-        return WatchBatch(version, [event for event in seen if event.stored.kind in kinds])
+        version = visible[-1].stored.version if visible else from_version
+        return WatchBatch(version, [event for event in visible if event.stored.kind in kinds])
--- a/tests/common/platform_process.py
+++ b/tests/common/platform_process.py
@@ -11,12 +11,12 @@
 from wagtailpoint.ports.platform import ListedInstance
 
 PORT = 9000
-_NUMBERS = random.SystemRandom()
+_RANDOM = random.SystemRandom()
 
 
 def fresh_address() -> str:
     """Return a random loopback address, so that fixed ports of tests don't collide."""
-    return "127." + ".".join(str(_NUMBERS.randint(1, 250)) for _ in range(3))
+    return "127." + ".".join(str(_RANDOM.randint(1, 250)) for _ in range(3))
 
 
 class PlatformProcess(ModuleProcess):
--- a/tests/common/platform_standin.py
+++ b/tests/common/platform_standin.py
@@ -19,7 +19,7 @@
 from tests.common.object_store import ObjectStore
 from wagtailpoint.ports.platform import Conflict, StoredObject
 
-MOST_VALUE_BYTES = 1_000_000
+MAX_VALUE_BYTES = 1_000_000
 _STALE_POLL_S = 0.02
 
 
@@ -52,18 +52,18 @@
 class Standin:
     """Implements the object API and its faults."""
 
-    def __init__(self, *, most_calls_per_s: float | None) -> None:
+    def __init__(self, *, max_calls_per_s: float | None) -> None:
         self._store = ObjectStore(monotonic=trio.current_time)
         self._modes = Modes()
         self._counts: Counter[tuple[str, str]] = Counter()
         self._refused = 0
-        self._rejecting = 0.0
-        self._most_calls_per_s = most_calls_per_s
-        self._most_tokens = max(1.0, most_calls_per_s or 0.0)
-        self._tokens = self._most_tokens
+        self._rejection_credit = 0.0
+        self._max_calls_per_s = max_calls_per_s
+        self._max_tokens = max(1.0, max_calls_per_s or 0.0)
+        self._tokens = self._max_tokens
         self._tokens_at_s = trio.current_time()
         self._changed = trio.Event()
-        self._listed: list[tuple[float, Any]] = [(0.0, [])]
+        self._instance_lists: list[tuple[float, Any]] = [(0.0, [])]
 
     async def answer(self, call: Call) -> Answer:
         """Answer one request.
@@ -74,8 +74,8 @@
         if call.path[0] == "standin":
             return self._control(call)
         await trio.sleep(self._modes.get("slow_s", 0.0))
-        self._check_up()
-        self._counts[self._counted_as(call)] += 1
+        self._fail_if_down()
+        self._counts[self._count_key(call)] += 1
         if self._is_over_rate():
             self._refused += 1
             return Answer(HTTPStatus.TOO_MANY_REQUESTS, None, [("Retry-After", "1")])
@@ -85,11 +85,11 @@
             return self._instances()
         return self._objects(call)
 
-    def _check_up(self) -> None:
+    def _fail_if_down(self) -> None:
         if self._modes.get("down"):
             raise NoAnswer
 
-    def _counted_as(self, call: Call) -> tuple[str, str]:
+    def _count_key(self, call: Call) -> tuple[str, str]:
         if call.path[0] == "watch":
             return "WATCH", call.query["kinds"][0]
         if call.path[0] == "instances":
@@ -97,15 +97,15 @@
         return "LIST" if len(call.path) == 2 else call.method, call.path[1]
 
     def _is_over_rate(self) -> bool:
-        self._rejecting += self._modes.get("reject_rate", 0.0)
-        if self._rejecting >= 1.0:
-            self._rejecting -= 1.0
+        self._rejection_credit += self._modes.get("reject_rate", 0.0)
+        if self._rejection_credit >= 1.0:
+            self._rejection_credit -= 1.0
             return True
-        if self._most_calls_per_s is None:
+        if self._max_calls_per_s is None:
             return False
         now_s = trio.current_time()
-        self._tokens += (now_s - self._tokens_at_s) * self._most_calls_per_s
-        self._tokens = min(self._tokens, self._most_tokens)
+        self._tokens += (now_s - self._tokens_at_s) * self._max_calls_per_s
+        self._tokens = min(self._tokens, self._max_tokens)
         self._tokens_at_s = now_s
         if self._tokens < 1.0:
             return True
@@ -120,15 +120,15 @@
             total = self._counts.total()
             return Answer(200, {"calls": calls, "refused": self._refused, "total": total})
         if call.path[1] == "instances":
-            self._listed.append((trio.current_time(), msgspec.json.decode(call.body)))
+            self._instance_lists.append((trio.current_time(), msgspec.json.decode(call.body)))
             return Answer(200, None)
         self._modes.update(msgspec.json.decode(call.body, type=Modes))
-        self._wake()
+        self._wake_watches()
         return Answer(200, self._modes)
 
     def _instances(self) -> Answer:
         visible_s = trio.current_time() - self._modes.get("instances_lag_s", 0.0)
-        visible = [listed for at_s, listed in self._listed if at_s <= visible_s]
+        visible = [listed for time_s, listed in self._instance_lists if time_s <= visible_s]
         return Answer(200, {"instances": visible[-1]})
 
     def _objects(self, call: Call) -> Answer:
@@ -143,7 +143,7 @@
         return self._write(call, kind, name)
 
     def _write(self, call: Call, kind: str, name: str) -> Answer:
-        if len(call.body) > MOST_VALUE_BYTES:
+        if len(call.body) > MAX_VALUE_BYTES:
             return Answer(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, None)
         if_version = int(call.number("if_version"))
         outcome: StoredObject | Conflict | None
@@ -153,7 +153,7 @@
             outcome = self._store.delete(kind, name, if_version)
         if isinstance(outcome, Conflict):
             return Answer(HTTPStatus.CONFLICT, as_wire(outcome.current))
-        self._wake()
+        self._wake_watches()
         if self._modes.get("lose_answers", 0) > 0:
             self._modes["lose_answers"] -= 1
             raise NoAnswer
@@ -164,29 +164,29 @@
         from_version = int(call.number("from"))
         until_s = trio.current_time() + call.number("wait_s")
         while True:
-            self._check_up()
+            self._fail_if_down()
             lag_s = self._modes.get("stale_watch_s", 0.0)
             batch = self._store.events_since(kinds, from_version, lag_s=lag_s)
             if batch is None:
                 return Answer(HTTPStatus.GONE, None)
-            left_s = until_s - trio.current_time()
-            if batch.events or left_s <= 0:
+            remaining_s = until_s - trio.current_time()
+            if batch.events or remaining_s <= 0:
                 events = [
                     {"action": event.action, "object": as_wire(event.stored)}
                     for event in batch.events
                 ]
                 return Answer(200, {"version": batch.version, "events": events})
-            with trio.move_on_after(min(left_s, _STALE_POLL_S) if lag_s else left_s):
+            with trio.move_on_after(min(remaining_s, _STALE_POLL_S) if lag_s else remaining_s):
                 await self._changed.wait()
 
-    def _wake(self) -> None:
+    def _wake_watches(self) -> None:
         self._changed.set()
         self._changed = trio.Event()
 
 
-async def run(address: str, port: int, most_calls_per_s: float | None) -> None:
+async def run(address: str, port: int, max_calls_per_s: float | None) -> None:
     """Serve until SIGTERM."""
-    standin = Standin(most_calls_per_s=most_calls_per_s)
+    standin = Standin(max_calls_per_s=max_calls_per_s)
     async with trio.open_nursery() as nursery:
         with trio.open_signal_receiver(signal.SIGTERM) as signals:
             listeners = await trio.open_tcp_listeners(port, host=address)
--- a/tests/common/processes.py
+++ b/tests/common/processes.py
@@ -25,7 +25,7 @@
 
 ROOT = Path(__file__).parents[2]
 LIMIT_S = 30.0
-_POLL_S = 0.02
+_POLL_INTERVAL_S = 0.02
 _LOG_TAIL_CHARACTERS = 4000
 
 
@@ -103,15 +103,15 @@
         Raises:
             RuntimeError: The process ended or is not ready after ``limit_s`` seconds; has its log.
         """
-        give_up_s = time.monotonic() + limit_s
-        while self._port is not None and not self._answers():
+        deadline_s = time.monotonic() + limit_s
+        while self._port is not None and not self._accepts_connections():
             if self.exit_code is not None:
                 raise RuntimeError(f"{self._command} ended: {self.exit_code}\n{self._log_tail()}")
-            if time.monotonic() > give_up_s:
+            if time.monotonic() > deadline_s:
                 raise RuntimeError(f"{self._command} not ready in {limit_s} s\n{self._log_tail()}")
-            time.sleep(_POLL_S)
+            time.sleep(_POLL_INTERVAL_S)
 
-    def _answers(self) -> bool:
+    def _accepts_connections(self) -> bool:
         try:
             socket.create_connection((self._address, self._port or 0), timeout=1.0).close()
         except OSError:
@@ -120,11 +120,11 @@
 
     def wait_log(self, text: str, limit_s: float = LIMIT_S) -> None:
         """Wait until the log contains ``text``."""
-        give_up_s = time.monotonic() + limit_s
+        deadline_s = time.monotonic() + limit_s
         while text not in self.log:
-            if time.monotonic() > give_up_s:
+            if time.monotonic() > deadline_s:
                 raise RuntimeError(f"no {text!r} in the log\n{self._log_tail()}")
-            time.sleep(_POLL_S)
+            time.sleep(_POLL_INTERVAL_S)
 
     def _log_tail(self) -> str:
         return self.log[-_LOG_TAIL_CHARACTERS:]
--- a/tests/common/small_config.py
+++ b/tests/common/small_config.py
@@ -28,10 +28,10 @@
 
 def small_servers(group: str, count: int) -> tuple[BackendServer, ...]:
     """Return ``count`` backend servers per region, alternating between its failure domains."""
-    place = {"old": 1, "new": 2}[group]
+    octet = {"old": 1, "new": 2}[group]
     return tuple(
         BackendServer(
-            BackendAddress(f"127.9.{place}.{10 * number + index}", 9000),
+            BackendAddress(f"127.9.{octet}.{10 * number + index}", 9000),
             f"{region}-{'ab'[index % 2]}",
             3,
         )
@@ -56,7 +56,7 @@
         name: Region(
             name=name,
             failure_domains=(f"{name}-a", f"{name}-b"),
-            latency_ms={other: latency_ms for other in REGIONS if other != name},
+            latency_ms={remote: latency_ms for remote in REGIONS if remote != name},
             capacity_rps=None,
         )
         for name in REGIONS
@@ -97,6 +97,6 @@
 
 def idle_board(clock: Clock, *, cap_fraction: float = 1.0) -> MoveBoard:
     """Return a move board without moves."""
-    hybrid = HybridClock(wall=clock.wall)
-    timeline = Timeline(clock=hybrid, instance="test", most_events=100)
+    hybrid_clock = HybridClock(wall=clock.wall)
+    timeline = Timeline(clock=hybrid_clock, instance="test", most_events=100)
     return MoveBoard(clock=clock, timeline=timeline, cap_fraction=lambda: cap_fraction)
--- a/tests/common/steering_group.py
+++ b/tests/common/steering_group.py
@@ -28,8 +28,8 @@
     @property
     def watches(self) -> bool:
         """Whether it watches the store itself, according to its last log line on that."""
-        said = [line for line in self.process.log.splitlines() if "event=watching " in line]
-        return bool(said) and "itself=True" in said[-1]
+        lines = [line for line in self.process.log.splitlines() if "event=watching " in line]
+        return bool(lines) and "itself=True" in lines[-1]
 
     async def status_of(self, target: str) -> int:
         """Return the status of a request; 0 if the connection failed."""
@@ -61,14 +61,14 @@
     return int(data.split(b" ")[1]), data.partition(b"\r\n\r\n")[2]
 
 
-async def until(holds: Callable[[], Awaitable[bool]], limit_s: float, what: str) -> None:
+async def until(condition: Callable[[], Awaitable[bool]], limit_s: float, what: str) -> None:
     """Wait until a condition holds.
 
     Raises:
         AssertionError: The condition does not hold within ``limit_s`` seconds.
     """
     with trio.move_on_after(limit_s):
-        while not await holds():  # noqa: ASYNC110 - other processes decide it
+        while not await condition():  # noqa: ASYNC110 - other processes decide it
             await trio.sleep(0.05)
         return
     raise AssertionError(f"not within {limit_s} s: {what}")
@@ -76,7 +76,7 @@
 
 async def all_serve(instances: Sequence[Instance], status: int) -> bool:
     """Return whether all instances answer a valid request with this status."""
-    return all([await each.serves() == status for each in instances])
+    return all([await instance.serves() == status for instance in instances])
 
 
 @asynccontextmanager
@@ -85,7 +85,7 @@
     with ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         addresses = [loopback_address() for _ in range(count)]
-        seeds = tuple(f"{each}:8146" for each in addresses[:3])
+        seeds = tuple(f"{address}:8146" for address in addresses[:3])
         instances = []
         for number, address in enumerate(addresses):
             file = folder / f"{number}.json"
--- a/tests/common/users_store.py
+++ b/tests/common/users_store.py
@@ -11,7 +11,7 @@
 from tests.common.scripted_server import ScriptedStream, response, scripted_server
 from wagtailpoint.node_settings import Endpoint
 
-PAGE = 2
+PAGE_SIZE = 2
 
 
 class UsersStore:
@@ -40,24 +40,24 @@
     def put(self, kind: str, name: str, spec: Any) -> None:
         """Write an object, as operators and backend servers do."""
         self._revision += 1
-        made = {"Metadata": {"Name": name, "Revision": self._revision}, "Spec": spec}
-        self._objects[kind, name] = made
-        self._tell(kind, {"Object": made, "Deleted": False})
+        stored = {"Metadata": {"Name": name, "Revision": self._revision}, "Spec": spec}
+        self._objects[kind, name] = stored
+        self._record_event(kind, {"Object": stored, "Deleted": False})
 
     def delete(self, kind: str, name: str) -> None:
         """Remove an object."""
         self._revision += 1
-        gone = self._objects.pop((kind, name))
-        self._tell(kind, {"Object": gone, "Deleted": True})
+        deleted = self._objects.pop((kind, name))
+        self._record_event(kind, {"Object": deleted, "Deleted": True})
 
     def spec(self, kind: str, name: str) -> Any:
         """Return the spec of an object; None if the object does not exist."""
-        found = self._objects.get((kind, name))
-        return None if found is None else found["Spec"]
+        current = self._objects.get((kind, name))
+        return None if current is None else current["Spec"]
 
     def names(self, kind: str) -> list[str]:
         """Return the sorted names of all objects of a kind."""
-        return sorted(name for each, name in self._objects if each == kind)
+        return sorted(name for event_kind, name in self._objects if event_kind == kind)
 
     def end_watches(self) -> None:
         """Wake all waiting watches, which then check for events and refusal."""
@@ -70,7 +70,7 @@
         async with scripted_server(self._connection) as address:
             yield Endpoint(address.address, address.port)
 
-    def _tell(self, kind: str, event: dict[str, Any]) -> None:
+    def _record_event(self, kind: str, event: dict[str, Any]) -> None:
         self._events.append((self._revision, kind, event))
         self.end_watches()
 
@@ -93,8 +93,8 @@
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
         kind, _, name = parts.path.removeprefix("/api/objects/").partition("/")
         if method == "GET" and name:
-            found = self._objects.get((kind, name))
-            return (200, found) if found else (404, {"Error": "none"})
+            current = self._objects.get((kind, name))
+            return (200, current) if current else (404, {"Error": "none"})
         if method == "GET" and "Watch" in query:
             return await self._watch(kind, int(query["Watch"]), int(query["WaitMs"]) / 1000)
         if method == "GET":
@@ -103,37 +103,45 @@
 
     def _page(self, kind: str, after: str) -> dict[str, Any]:
         names = [name for name in self.names(kind) if name > after]
-        items = [self._objects[kind, name] for name in names[:PAGE]]
-        return {"items": items, "HasMore": len(names) > PAGE, "StoreRevision": self._revision}
+        items = [self._objects[kind, name] for name in names[:PAGE_SIZE]]
+        return {"items": items, "HasMore": len(names) > PAGE_SIZE, "StoreRevision": self._revision}
 
     async def _watch(self, kind: str, since: int, wait_s: float) -> tuple[int, Any]:
         if since < self.history_from:
             return 410, {"Error": "history gone"}
         with trio.move_on_after(wait_s):
-            while not self._since(kind, since):
+            while not self._events_since(kind, since):
                 await self._changed.wait()
                 if self.refuse is not None:
                     return self.refuse, {"Error": "refused"}
-        return 200, {"events": self._since(kind, since), "StoreRevision": self._revision}
+        return 200, {"events": self._events_since(kind, since), "StoreRevision": self._revision}
 
-    def _since(self, kind: str, since: int) -> list[dict[str, Any]]:
-        return [event for at, each, event in self._events if each == kind and at > since]
+    def _events_since(self, kind: str, since: int) -> list[dict[str, Any]]:
+        return [
+            event
+            for revision, event_kind, event in self._events
+            if event_kind == kind and revision > since
+        ]
 
     def _write(
         self, method: str, kind: str, name: str, query: dict[str, str], body: bytes
     ) -> tuple[int, Any]:
-        wanted = msgspec.json.decode(body) if body else {"Metadata": {}}
-        name = name or wanted["Metadata"]["Name"]
-        found = self._objects.get((kind, name))
-        if method == "POST" and found is not None:
-            return 409, found
-        if method != "POST" and found is None:
+        written = msgspec.json.decode(body) if body else {"Metadata": {}}
+        name = name or written["Metadata"]["Name"]
+        current = self._objects.get((kind, name))
+        if method == "POST" and current is not None:
+            return 409, current
+        if method != "POST" and current is None:
             return 404, {"Error": "none"}
-        given = wanted["Metadata"].get("Revision") or query.get("Revision")
-        if found is not None and given and int(given) != found["Metadata"]["Revision"]:
-            return 409, found
+        expected_revision = written["Metadata"].get("Revision") or query.get("Revision")
+        if (
+            current is not None
+            and expected_revision
+            and int(expected_revision) != current["Metadata"]["Revision"]
+        ):
+            return 409, current
         if method == "DELETE":
             self.delete(kind, name)
-            return 200, found
-        self.put(kind, name, wanted["Spec"])
+            return 200, current
+        self.put(kind, name, written["Spec"])
         return 200, self._objects[kind, name]
--- a/tests/cover/test_observing.py
+++ b/tests/cover/test_observing.py
@@ -70,7 +70,7 @@
         return CallerRequest("GET", "/p", "/p", [*HEADERS, *more], None, None, 0.0)
 
     def events(self) -> list[tuple[str, object]]:
-        return [(each.event, each.fields["request_id"]) for each in self.timeline.since(ZERO)]
+        return [(event.event, event.fields["request_id"]) for event in self.timeline.since(ZERO)]
 
     def test_plain_answers_are_counted_without_an_event(self) -> None:
         self.observer.on_completed(self.request(), CompletedRequest(None, 200, Verdict.RAN, "ok"))
@@ -97,11 +97,11 @@
             logger.configure(extra={})
         return written.getvalue()
 
-    def test_a_line_of_pairs_for_each_event(self) -> None:
+    def test_event_is_one_line_of_key_value_pairs(self) -> None:
         line = self.line(target="/a?b", reason='a "b" c\\')
         self.assertIn('level=INFO event=test instance=e target=/a?b reason="a \\"b\\" c', line)
 
-    def test_event_that_is_given_in_the_message_is_named_once(self) -> None:
+    def test_event_named_in_the_message_is_not_repeated(self) -> None:
         with redirect_stdout(StringIO()) as written:
             configure_log(level="INFO", instance="e")
             logger.info("event=seat-taken seat={}", "a-1")
@@ -109,14 +109,14 @@
             logger.configure(extra={})
         self.assertIn("level=INFO event=seat-taken seat=a-1 instance=e", written.getvalue())
 
-    def test_value_can_not_forge_a_line(self) -> None:
+    def test_value_cannot_forge_a_line(self) -> None:
         """Guards against forged log lines, made by a line break in the value of a header."""
         line = self.line(reason="a\r\nlevel=ERROR event=forged\x1b\u2028")
         self.assertEqual(len(line.splitlines()), 1, line)
 
 
-class OwnPagesTest(unittest.TestCase):
-    def test_quick_page_repeats_the_request_id(self) -> None:
+class ApiRouterTest(unittest.TestCase):
+    def test_synchronous_page_returns_the_request_id(self) -> None:
         def page(query):
             return Page(HTTPStatus.OK, dict(query))
 
--- a/tests/cover/test_settings_file.py
+++ b/tests/cover/test_settings_file.py
@@ -38,7 +38,7 @@
         self.document["Terms"]["Bounds"].update(bounds)
         self.path.write_text(json.dumps(self.document))
 
-    def test_bounds_hold_at_once(self) -> None:
+    def test_bounds_apply_at_once(self) -> None:
         """Guards against overdrawing the shared retry budget after operators have lowered it.
 
         Sequence: the file changes without a signal. Cause: bounds are read only at the start.
@@ -50,13 +50,13 @@
         self.assertIn("reload", self.lines[0])
         self.assertIn("'changed': 'bounds', 'from_next_start': ''", self.lines[0])
 
-    def test_other_fields_hold_from_the_next_start(self) -> None:
+    def test_other_fields_apply_from_the_next_start(self) -> None:
         self.document["Network"]["SeedAddrs"] = ["127.0.0.9:8146"]
         self.write()
         self.file.reload(signalled=False)
         self.assertIn("'from_next_start': 'seeds'", self.lines[0])
 
-    def test_wrong_file_changes_nothing_and_is_said_once(self) -> None:
+    def test_invalid_file_is_ignored_and_logged_once(self) -> None:
         self.path.write_text("{")
         for _ in range(3):
             self.file.reload(signalled=False)
--- a/tests/cover/test_store_state.py
+++ b/tests/cover/test_store_state.py
@@ -22,8 +22,8 @@
         logger.disable("wagtailpoint")
         self.addCleanup(logger.enable, "wagtailpoint")
         self.fleet = Fleet(region_of=REGION_OF)
-        self.gone: list[ServerStart] = []
-        self.state = StoreState(fleet=self.fleet, on_removed=self.gone.append)
+        self.removed: list[ServerStart] = []
+        self.state = StoreState(fleet=self.fleet, on_removed=self.removed.append)
         self.version = 0
 
     def apply(self, **values) -> list[str]:
@@ -39,26 +39,26 @@
             )
 
         trio.run(apply, clock=MockClock())
-        return [each.entry.server_id for each in self.fleet.candidates("desk")]
+        return [candidate.entry.server_id for candidate in self.fleet.candidates("desk")]
 
     def server(self, **changes):
         return server_document("10.1.2.3:80") | changes
 
-    def test_entry_of_another_writer_names_none_and_disturbs_none(self) -> None:
+    def test_invalid_entry_removes_only_its_backend_server(self) -> None:
         """Guards against requests to the former backend server of an overwritten entry.
 
         Sequence: an entry is overwritten with an invalid value. Cause: its last readable value
         stays in use.
         """
         self.assertEqual(self.apply(i_1=self.server(), i_2=self.server()), ["i_1", "i_2"])
-        garbage: object
-        for garbage in (None, 7, "\ufffd\x00", [], {}, self.server(State="resting")):
-            self.assertEqual(self.apply(i_1=garbage, i_2=self.server()), ["i_2"])
+        invalid: object
+        for invalid in (None, 7, "\ufffd\x00", [], {}, self.server(State="resting")):
+            self.assertEqual(self.apply(i_1=invalid, i_2=self.server()), ["i_2"])
             self.assertEqual(self.state.unusable_entries, 1)
         self.assertEqual(self.apply(i_1=self.server(), i_2=self.server()), ["i_1", "i_2"])
         self.assertEqual(self.state.unusable_entries, 0)
 
-    def test_one_change_of_hundreds_is_one_piece_of_work(self) -> None:
+    def test_one_changed_entry_causes_one_decoding(self) -> None:
         """Guards against decoding all entries and sorting all candidates at each change.
 
         Failure: 195 instances use a fifth more processor time than needed. Sequence: backend
@@ -84,13 +84,13 @@
             del objects["i_9"]
             self.state.apply_servers({**objects, "i_7": changed})
             self.assertEqual(len(self.fleet.candidates("desk")), 398)
-            self.assertEqual([each.server_id for each in self.gone], ["i_9"])
+            self.assertEqual([start.server_id for start in self.removed], ["i_9"])
 
         trio.run(test, clock=MockClock())
 
-    def test_late_heartbeats(self) -> None:
+    def test_outdated_heartbeats_are_ignored(self) -> None:
         self.apply(i_1=self.server(Sequence=5, State="draining"))
         self.assertEqual(self.apply(i_1=self.server(Sequence=4)), [])
         self.assertEqual(self.apply(i_1=self.server(Sequence=1, born=77)), ["i_1"])
-        self.assertEqual(self.gone, [ServerStart("i_1", 0)])
+        self.assertEqual(self.removed, [ServerStart("i_1", 0)])
         self.assertEqual(self.apply(i_1=self.server(Sequence=6, State="draining")), ["i_1"])
--- a/tests/integration/test_processes.py
+++ b/tests/integration/test_processes.py
@@ -8,22 +8,22 @@
 
 
 class ModuleProcessTest(unittest.TestCase):
-    def test_a_process_that_ends_at_once_is_an_error_with_its_log(self) -> None:
+    def test_process_that_ends_at_once_raises_with_its_log(self) -> None:
         process = ModuleProcess(module="no.such.module", port=9)
         with self.assertRaisesRegex(RuntimeError, "No module named"), process:
             self.fail("it can't be ready")
 
-    def test_a_frozen_process_is_ended(self) -> None:
+    def test_frozen_process_is_killed(self) -> None:
         process = PlatformProcess()
         with process:
             process.freeze()
         self.assertEqual(process.exit_code, -signal.SIGKILL)
 
-    def test_a_replacement_is_started(self) -> None:
+    def test_process_can_be_restarted(self) -> None:
         with PlatformProcess() as process:
-            first = process.pid
+            first_pid = process.pid
             self.assertEqual(process.stop(), 0)
             process.start()
             process.wait_ready()
-            self.assertNotEqual(process.pid, first)
+            self.assertNotEqual(process.pid, first_pid)
             self.assertIsNone(process.exit_code)
--- a/tests/integration/test_whole_path.py
+++ b/tests/integration/test_whole_path.py
@@ -24,11 +24,11 @@
         cls.addClassCleanup(cls.running.__exit__, None, None, None)
         cls.running.apply_objects()
 
-    def use(self, use) -> None:
+    def run_with_caller(self, test) -> None:
         async def run() -> None:
             async with self.running.caller("surakkha", address=CLIENT) as caller:
                 with trio.fail_after(60):
-                    await use(caller)
+                    await test(caller)
 
         trio.run(run)
 
@@ -38,9 +38,9 @@
             self.assertEqual((answer.status, answer.verdict), (200, Verdict.RAN))
             self.assertIn("deposit-desk", answer.body.decode())
 
-        self.use(check)
+        self.run_with_caller(check)
 
-    def test_release_repeated_with_its_key_runs_once(self) -> None:
+    def test_release_repeated_with_the_same_key_runs_once(self) -> None:
         async def check(caller: Caller) -> None:
             release = partial(
                 caller.request,
@@ -50,13 +50,13 @@
                 idempotency_key="release-7",
                 deadline_s=DEADLINE_S,
             )
-            first, repeat = await release(), await release()
-            self.assertEqual(first.body, repeat.body)
+            first, second = await release(), await release()
+            self.assertEqual(first.body, second.body)
             records = await trio.to_thread.run_sync(self.running.backends["deposit-desk"].records)
             executions = [record["by_key"].get("release-7", 0) for record in records.values()]
             self.assertEqual(sum(executions), 1)
 
-        self.use(check)
+        self.run_with_caller(check)
 
     def test_download_arrives_whole(self) -> None:
         async def check(caller: Caller) -> None:
@@ -65,26 +65,26 @@
                 size = sum([len(chunk) async for chunk in download.chunks()])
             self.assertEqual(size, 3_000_000)
 
-        self.use(check)
+        self.run_with_caller(check)
 
     def test_unknown_workspace_is_refused_as_not_run(self) -> None:
         async def check(_caller: Caller) -> None:
-            async with self.running.caller("nobody", address=CLIENT) as stranger:
+            async with self.running.caller("nobody", address=CLIENT) as unknown_caller:
                 with self.assertRaises(Exception) as raised:
-                    await stranger.request("GET", "/deposits/balance/7", deadline_s=1.0)
+                    await unknown_caller.request("GET", "/deposits/balance/7", deadline_s=1.0)
             self.assertIn("status-404", str(raised.exception))
 
-        self.use(check)
+        self.run_with_caller(check)
 
     def test_status_shows_every_instance_with_its_version(self) -> None:
-        done = self.running.cli("status", "--json")
-        self.assertEqual(done.returncode, 0, done.stderr)
-        members = json.loads(done.stdout)["members"]
+        result = self.running.cli("status", "--json")
+        self.assertEqual(result.returncode, 0, result.stderr)
+        members = json.loads(result.stdout)["members"]
         self.assertEqual([member["config_version"] for member in members], [1, 1, 1])
 
 
 class GracefulStopTest(unittest.TestCase):
-    def test_the_others_serve_when_one_entry_stops(self) -> None:
+    def test_other_entries_serve_when_one_stops(self) -> None:
         with RunningDeployment(
             name="heather-isles", entries=3, timings={"lookup_ttl_s": 0.5}
         ) as running:
