--- a/src/wagtailpoint/membership/service.py
+++ b/src/wagtailpoint/membership/service.py
@@ -1,7 +1,8 @@
-"""The members as one instance sees them; the tasks behind it have modules of their own.
+"""The membership of the cluster as one instance sees it.
 
-The cost for each instance does not grow with their number: each probes one other a period (SWIM,
-Das, Gupta and Motivala 2002), and tells only changes on.
+The probing cost of an instance does not grow with the number of members: it probes one member per
+period (SWIM, Das, Gupta and Motivala 2002) and gossips changes only. Probing, gossip,
+synchronisation of views and reconnection have modules of their own.
 """
 
 from collections.abc import Callable, Sequence
@@ -9,31 +10,33 @@
 
 import trio
 
-from wagtailpoint.membership.comparing import ViewComparer
-from wagtailpoint.membership.lost import LostFinder
+from wagtailpoint.membership.gossip import Gossiper
 from wagtailpoint.membership.member import Fact, Member, MemberState
-from wagtailpoint.membership.news import NewsTeller
 from wagtailpoint.membership.probing import Prober
+from wagtailpoint.membership.reconnection import Reconnector
 from wagtailpoint.membership.settings import MembershipSettings
 from wagtailpoint.membership.table import MemberTable
+from wagtailpoint.membership.view_sync import ViewSynchroniser
 from wagtailpoint.ports.clock import Clock
 from wagtailpoint.ports.peers import PeerAddress, Peers
 
-LEAST_LOAD_INTERVAL_S = 2.0
+MIN_LOAD_INTERVAL_S = 2.0
 LOAD_INTERVAL_PER_MEMBER_S = 0.2
 
 
 class Membership:
-    """The members as this instance sees them, and what it tells them of itself.
+    """Tracks the members as this instance sees them, and publishes its own state to them.
 
     Args:
-        own: The fact of this instance; its sequence is the wall clock in milliseconds.
-        peers: The links to the others.
+        own: The initial fact of this instance; its sequence is the wall clock in milliseconds.
+        peers: The links to the other instances.
         clock: The clocks of this instance.
-        random: Chooses whom to probe and to tell.
-        seeds: Where to look for the first other members; the addresses' own one may be among them.
-        hints: Reads addresses from the platform's list, which lags and may be empty.
-        settings: Times and numbers.
+        random: Chooses the members to probe and to gossip to.
+        seeds: The configured addresses of the first other members; this instance's own address
+            may be among them.
+        hints: Returns the addresses in the platform's list of instances, which may be out of date
+            or empty.
+        settings: Intervals, time-outs and limits.
     """
 
     def __init__(
@@ -49,7 +52,7 @@
     ) -> None:
         self._settings = settings or MembershipSettings()
         self._monotonic = clock.monotonic
-        self._load_told_at: float | None = None
+        self._load_published_at: float | None = None
         self._table = MemberTable(
             own=own,
             clock=clock,
@@ -57,27 +60,27 @@
             report_copies=self._settings.report_copies,
             urgent_load_step=self._settings.urgent_load_step,
         )
-        self._teller = NewsTeller(
+        self._gossiper = Gossiper(
             table=self._table, peers=peers, random=random, settings=self._settings
         )
-        self._comparer = ViewComparer(
+        self._synchroniser = ViewSynchroniser(
             table=self._table,
-            teller=self._teller,
+            gossiper=self._gossiper,
             peers=peers,
             random=random,
             settings=self._settings,
         )
         self._prober = Prober(
             table=self._table,
-            teller=self._teller,
-            comparer=self._comparer,
+            gossiper=self._gossiper,
+            synchroniser=self._synchroniser,
             peers=peers,
             random=random,
             settings=self._settings,
         )
-        self._finder = LostFinder(
+        self._reconnector = Reconnector(
             table=self._table,
-            comparer=self._comparer,
+            synchroniser=self._synchroniser,
             random=random,
             seeds=seeds,
             hints=hints,
@@ -86,21 +89,21 @@
 
     @property
     def own(self) -> Member:
-        """This instance."""
+        """This instance as a member."""
         return next(
             member for member in self.members() if member.address == self._table.own.address
         )
 
     def members(self) -> tuple[Member, ...]:
-        """Return all members by address: this instance, and also the leaving and the dead."""
+        """Return all members sorted by address, including this instance, leaving and dead ones."""
         return self._table.members
 
     def member(self, address: str) -> Member | None:
-        """Return one member."""
+        """Return the member at an address; None if there is none."""
         return next((member for member in self.members() if member.address == address), None)
 
     def others(self) -> Sequence[PeerAddress]:
-        """Return where the other instances that are not known to be dead are heard."""
+        """Return the peer addresses of all other members that are not dead."""
         own = self._table.own.address
         return [
             member.peer_address
@@ -110,11 +113,11 @@
 
     def on_change(self, callback: Callable[[], None]) -> None:
         """Call ``callback``, which must not block, after every change of ``members()``."""
-        self._teller.on_change(callback)
+        self._gossiper.on_change(callback)
 
     async def wait_changed(self) -> None:
         """Wait for the next change of ``members()``."""
-        await self._teller.wait_changed()
+        await self._gossiper.wait_changed()
 
     def publish(
         self,
@@ -124,10 +127,11 @@
         config_version: int | None = None,
         load: float | None = None,
     ) -> None:
-        """Tell the others something of this instance; what is not given stays as it was.
+        """Publish state of this instance; arguments that are None leave the value unchanged.
 
-        The load alone is told on only if it moved by ``load_step``, and the more rarely the more
-        members there are, so that it cannot fill the control budget.
+        A change of the load alone is published only if it is at least ``load_step``, at an
+        interval that grows with the number of members, so that loads cannot use up the bandwidth
+        for control messages.
         """
         own = self._table.own
         changed = own._replace(
@@ -135,27 +139,27 @@
             epoch=own.epoch if epoch is None else epoch,
             config_version=own.config_version if config_version is None else config_version,
         )
-        if load is not None and (changed != own or self._load_is_due(load)):
+        if load is not None and (changed != own or self._is_load_due(load)):
             changed = changed._replace(load=round(load, 2))
-            self._load_told_at = self._monotonic()
+            self._load_published_at = self._monotonic()
         if changed != own:
             self._table.publish(changed)
-            self._teller.note_change()
+            self._gossiper.notify_change()
 
     def leave(self) -> None:
-        """Tell the others that this instance takes no more work; it goes on answering them."""
+        """Announce that this instance accepts no more work; it goes on answering its peers."""
         self.publish(state="leaving")
 
     def announce_exit(self) -> None:
-        """Tell a few others at once that this process ends now, so that no suspicion is needed."""
+        """Announce to a few members that this process exits, which saves them a suspicion."""
         self.publish(state="dead")
-        self._teller.push(self._settings.push_fanout * 2)
+        self._gossiper.push(self._settings.push_fanout * 2)
 
     def watchers(self, failure_domain: str, count: int) -> tuple[Member, ...]:
-        """Return who should hold the platform watch for a failure domain.
+        """Return up to ``count`` members that should watch the platform for a failure domain.
 
-        All instances with the same view name the same ones. When views differ more than ``count``
-        may watch for a while, which costs a few calls and harms nothing.
+        All instances with the same view choose the same members. While views differ, more than
+        ``count`` may watch, which costs a few additional calls and does no other harm.
         """
         live = [
             member
@@ -167,21 +171,19 @@
         return tuple(live[:count])
 
     async def run(self) -> None:
-        """Run the tasks until cancelled."""
+        """Run probing, gossip, synchronisation and reconnection until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._prober.run)
-            nursery.start_soon(self._teller.run)
-            nursery.start_soon(self._comparer.run)
-            nursery.start_soon(self._finder.run)
+            nursery.start_soon(self._gossiper.run)
+            nursery.start_soon(self._synchroniser.run)
+            nursery.start_soon(self._reconnector.run)
 
-    def _load_is_due(self, load: float) -> bool:
+    def _is_load_due(self, load: float) -> bool:
         step = abs(load - self._table.own.load)
         if step < self._settings.load_step:
             return False
-        interval_s = max(
-            LEAST_LOAD_INTERVAL_S, LOAD_INTERVAL_PER_MEMBER_S * len(self._table.members)
-        )
+        interval_s = max(MIN_LOAD_INTERVAL_S, LOAD_INTERVAL_PER_MEMBER_S * len(self._table.members))
         if step >= self._settings.urgent_load_step:
             interval_s = self._settings.urgent_load_interval_s
-        last_s = self._load_told_at
-        return last_s is None or self._monotonic() - last_s >= interval_s
+        published_at_s = self._load_published_at
+        return published_at_s is None or self._monotonic() - published_at_s >= interval_s
--- a/src/wagtailpoint/moves/writer.py
+++ b/src/wagtailpoint/moves/writer.py
@@ -1,4 +1,4 @@
-"""The one writer of all moves' progress: the holder of their lease."""
+"""The single writer of the progress of all moves, elected by a lease."""
 
 import itertools
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 
 from wagtailpoint.config.model import Move
 from wagtailpoint.moves.board import MoveBoard
-from wagtailpoint.moves.decision import Known, Receiving, next_progress
+from wagtailpoint.moves.decision import ReceivingSide, WriterView, next_progress
 from wagtailpoint.moves.progress import PROGRESS_KIND, MoveProgress, read_progress
 from wagtailpoint.observe.log import log_event
 from wagtailpoint.ports.clock import Clock
@@ -17,37 +17,37 @@
 from wagtailpoint.ports.platform import Conflict, Platform, StoredObject
 
 MOVES_LEASE: Final = "moves"
-STEPS_PER_LEASE: Final = 4
+RENEWALS_PER_LEASE: Final = 4
 
 
 class WriterLease(Protocol):
-    """What the writer needs of ``limits.lease.Lease``."""
+    """The part of ``limits.lease.Lease`` that the writer uses."""
 
     def held(self) -> bool:
-        """Whether this process is surely the only holder now."""
+        """Return whether this process is certainly the only holder at present."""
         ...
 
     async def step(self) -> bool:
-        """Take or renew it if possible."""
+        """Acquire or renew the lease if possible; return whether it is held."""
         ...
 
     async def release(self) -> None:
-        """Let others have it."""
+        """Give up the lease, so that another instance can acquire it."""
         ...
 
     async def put(
         self, *, kind: str, name: str, value: dict[str, Any], if_version: int
     ) -> Result[StoredObject, Any]:
-        """Write an object conditionally, if the lease is held."""
+        """Write an object if its version is ``if_version`` and the lease is held."""
         ...
 
 
 class MoveWriter:
-    """Takes the lease if it can, and then advances every move.
+    """Acquires the lease if possible, and then advances every move.
 
-    A writer that wakes from a freeze finds its lease over by a clock that counted on, and a write
-    that was already under way meets a newer version. A platform that does not answer stops the
-    writing, and so freezes every move at its step: traffic goes on as it is.
+    After a freeze, the writer finds its lease expired, because its clock goes on during the freeze;
+    a write that was already sent fails because the stored version is newer. While the platform
+    does not answer, nothing is written, so every move stays at its step and traffic continues.
     """
 
     def __init__(
@@ -62,15 +62,15 @@
         is_eligible: Callable[[], bool],
         count_receiving_servers: Callable[[Move], tuple[int, int]],
     ) -> None:
-        """Make it without the lease.
+        """Initialise the writer; it does not hold the lease yet.
 
         Args:
-            platform: Where the progress is.
-            clock: Of this instance.
-            board: What this instance knows of the moves.
+            platform: Stores the progress.
+            clock: The clock of this instance.
+            board: The moves and their progress as this instance knows them.
             lease: Makes this process the only writer.
-            lease_s: Its length in seconds.
-            own: Where this instance hears its peers' reports.
+            lease_s: The duration of the lease in seconds.
+            own: The address of this instance, to which its peers send reports.
             is_eligible: Whether this instance may try to become the writer. Only a few instances
                 of each failure domain do, so that the load on the platform does not grow with the
                 number of instances.
@@ -81,17 +81,17 @@
         self._clock = clock
         self._board = board
         self._lease = lease
-        self._renew_s = lease_s / STEPS_PER_LEASE
+        self._renewal_interval_s = lease_s / RENEWALS_PER_LEASE
         self._own = own
         self._is_eligible = is_eligible
         self._count_receiving_servers = count_receiving_servers
-        self._asked_at = float("-inf")
+        self._lease_tried_at = float("-inf")
         self._has_read = False
         self._writes = itertools.count(1)
 
     @property
     def is_writing(self) -> bool:
-        """Whether this instance is the writer."""
+        """Whether this instance is the writer and has read the stored progress."""
         return self._has_read and self._lease.held()
 
     async def run(self, *, interval_s: float) -> None:
@@ -101,13 +101,13 @@
             await trio.sleep(interval_s)
 
     async def step(self) -> None:
-        """Look after the lease, and advance each move that is due."""
+        """Acquire, renew or release the lease, and advance each move that is due."""
         if not self._board.moves or not self._is_eligible():
-            await self._stand_back()
+            await self._release_lease()
             return
         now = self._clock.monotonic()
-        if not self._lease.held() or now - self._asked_at >= self._renew_s:
-            await self._look_after_lease(now)
+        if not self._lease.held() or now - self._lease_tried_at >= self._renewal_interval_s:
+            await self._renew_lease(now)
         if not self._lease.held():
             self._has_read = False
             return
@@ -117,39 +117,39 @@
         for move in self._board.moves.values():
             await self._advance(move)
 
-    async def _look_after_lease(self, now: float) -> None:
-        if now - self._asked_at < self._renew_s:
+    async def _renew_lease(self, now: float) -> None:
+        if now - self._lease_tried_at < self._renewal_interval_s:
             return
-        self._asked_at = now
-        held_before = self._lease.held()
-        if await self._lease.step() and not held_before:
+        self._lease_tried_at = now
+        was_held = self._lease.held()
+        if await self._lease.step() and not was_held:
             log_event("moves-writer", own=self._own)
 
-    async def _stand_back(self) -> None:
+    async def _release_lease(self) -> None:
         if self._has_read or self._lease.held():
             self._has_read = False
             await self._lease.release()
 
     async def _read_all(self) -> bool:
-        """Learn what the writer before left; the watch may not have brought all of it."""
+        """Read what the former writer stored, as the watch may not have delivered all of it."""
         listing = await self._platform.list(kind=PROGRESS_KIND)
         if isinstance(listing, Err):
             return False
         for stored in listing.ok_value.objects:
-            self._learn(stored)
+            self._apply_stored(stored)
         self._board.restart_holds()
         return True
 
     async def _advance(self, move: Move) -> None:
         servers, cold = self._count_receiving_servers(move)
-        known = Known(
-            receiving=Receiving(self._board.evidence(move.name), servers, cold),
+        view = WriterView(
+            receiving=ReceivingSide(self._board.evidence(move.name), servers, cold),
             held_s=self._board.held_s(move.name),
             wall=self._clock.wall(),
             writer=self._own,
         )
         current = self._board.progresses.get(move.name)
-        proposed = next_progress(move, current, known)
+        proposed = next_progress(move, current, view)
         if proposed is not None:
             await self._write(proposed)
 
@@ -163,15 +163,15 @@
         )
         match written:
             case Ok(stored):
-                self._learn(stored)
+                self._apply_stored(stored)
             case Err(Conflict(None)):
-                self._board.forget(proposed.move)
+                self._board.remove_progress(proposed.move)
             case Err(Conflict(StoredObject() as current)):
-                self._learn(current)
+                self._apply_stored(current)
             case Err(error):
                 log_event("move-not-written", level="WARNING", move=proposed.move, reason=error)
 
-    def _learn(self, stored: StoredObject) -> None:
+    def _apply_stored(self, stored: StoredObject) -> None:
         progress = read_progress(stored)
         if isinstance(progress, Ok):
             self._board.apply_progress(progress.ok_value)
@@ -180,7 +180,7 @@
 
 
 class ProgressCleaner:
-    """Deletes the progress of moves that are no longer planned."""
+    """Deletes the stored progress of moves that are not in the configuration."""
 
     def __init__(
         self, *, platform: Platform, board: MoveBoard, is_writing: Callable[[], bool]
@@ -191,9 +191,10 @@
         self._seen: set[tuple[str, int]] = set()
 
     async def step(self) -> None:
-        """Delete what was without a move at the step before too.
+        """Delete progress that has had no move at this step and at the previous one.
 
-        Twice, because the configuration of this instance may be a little older than the progress.
+        One step is not enough, because the configuration of this instance may be slightly older
+        than the progress.
         """
         if not self._is_writing():
             return
@@ -201,7 +202,7 @@
         if isinstance(listing, Err):
             return
         moves = self._board.moves
-        orphans = {(one.name, one.version) for one in listing.ok_value.objects}
+        orphans = {(stored.name, stored.version) for stored in listing.ok_value.objects}
         orphans = {orphan for orphan in orphans if orphan[0] not in moves}
         for name, version in orphans & self._seen:
             await self._platform.delete(kind=PROGRESS_KIND, name=name, if_version=version)
--- a/tests/cover/test_instances.py
+++ b/tests/cover/test_instances.py
@@ -1,4 +1,4 @@
-"""How many instances there are, and what lost ones have left in the store."""
+"""The count of instances, and the removal of lost instances' registrations."""
 
 import random
 import unittest
@@ -9,9 +9,13 @@
 from trio.testing import MockClock
 
 from tests.common.fake_platform import FakePlatform
-from wagtailpoint.discovery.instance_count import CONVERGED_S, PEAK_RETENTION_S, InstanceCount
-from wagtailpoint.discovery.lost_registrations import LOST_S, LostRegistrationCleaner
-from wagtailpoint.discovery.registration import KIND
+from wagtailpoint.discovery.instance_count import (
+    CONVERGENCE_DELAY_S,
+    PEAK_RETENTION_S,
+    InstanceCount,
+)
+from wagtailpoint.discovery.lost_registrations import DEAD_RETENTION_S, LostRegistrationCleaner
+from wagtailpoint.discovery.registration import INSTANCES_KIND
 from wagtailpoint.membership.member import Member, MemberState
 
 ADDRESSES = ("127.9.0.1", "127.9.0.2", "127.9.0.3")
@@ -22,11 +26,11 @@
 
 
 class InstanceCountTest(unittest.TestCase):
-    def test_registered_ones_count_until_the_others_are_known(self) -> None:
-        """Symptom: an instance hardly ever repeats a request, as long as it runs.
+    def test_registered_instances_count_until_membership_knows_the_others(self) -> None:
+        """Guards against an instance that hardly ever retries a request.
 
-        Sequence: hundreds of instances were replaced, and their objects stay in the store. Cause:
-        those that were registered at the start were counted for ever.
+        Hundreds of instances are replaced, and their registrations stay in the store. If all that
+        are registered at the start count for ever, the share of the retry budget is too small.
         """
         alive = 1
 
@@ -36,16 +40,16 @@
             self.assertEqual(count.value, 500)
             alive = 9
             self.assertEqual(count.value, 500)
-            await trio.sleep(CONVERGED_S)
+            await trio.sleep(CONVERGENCE_DELAY_S)
             self.assertEqual(count.value, 9)
 
         run(test)
 
-    def test_who_hears_of_nobody_does_not_spend_everything(self) -> None:
-        """Symptom: more repeated sends than all instances together may make.
+    def test_cut_off_instance_keeps_its_share(self) -> None:
+        """Guards against more retries than all instances together may make.
 
-        Sequence: a link between regions fails. Cause: each side took itself for all there are, and
-        spent the parts of the others, which spent them, too.
+        A link between regions fails. If each side counts only its own instances, it spends the
+        shares of the other side, which spends them, too.
         """
         alive = 9
 
@@ -63,7 +67,7 @@
 
 
 class FixedMembers:
-    """Members whose states the test sets; seen by the first one that lives."""
+    """Members whose states the test sets, as seen by the instance ``viewer``."""
 
     def __init__(self) -> None:
         self.states: dict[str, MemberState] = dict.fromkeys(ADDRESSES, "live")
@@ -71,7 +75,7 @@
 
     @property
     def own(self) -> Member:
-        return next(each for each in self.members() if each.address == self.viewer)
+        return next(member for member in self.members() if member.address == self.viewer)
 
     def members(self) -> tuple[Member, ...]:
         return tuple(
@@ -112,29 +116,34 @@
 
     async def register(self, name: str, address: str, version: int = 0) -> int:
         value = {"address": address, "peer_port": 7000}
-        written = await self.platform.put(kind=KIND, name=name, value=value, if_version=version)
+        written = await self.platform.put(
+            kind=INSTANCES_KIND, name=name, value=value, if_version=version
+        )
         return written.unwrap().version
 
     async def names(self) -> set[str]:
-        return {each.name for each in (await self.platform.list(kind=KIND)).unwrap().objects}
+        return {
+            stored.name
+            for stored in (await self.platform.list(kind=INSTANCES_KIND)).unwrap().objects
+        }
 
-    def test_lost_instance_is_removed_by_one_of_the_others(self) -> None:
+    def test_one_live_instance_removes_a_lost_registration(self) -> None:
         async def test() -> None:
             self.set_state(ADDRESSES[2], "dead")
-            await trio.sleep(LOST_S - 5)
+            await trio.sleep(DEAD_RETENTION_S - 5)
             self.assertEqual(len(await self.names()), 3)
             await trio.sleep(60.0)
             self.assertEqual(await self.names(), {"entry-0", "entry-1"})
-            self.assertEqual(self.platform.counts["DELETE", KIND], 1)
+            self.assertEqual(self.platform.counts["DELETE", INSTANCES_KIND], 1)
 
         self.run_with(test)
 
-    def test_instance_that_came_back_stays(self) -> None:
+    def test_registration_of_a_returned_instance_stays(self) -> None:
         async def test() -> None:
             self.set_state(ADDRESSES[2], "dead")
-            await trio.sleep(LOST_S / 2)
+            await trio.sleep(DEAD_RETENTION_S / 2)
             self.set_state(ADDRESSES[2], "live")
-            await trio.sleep(2 * LOST_S)
+            await trio.sleep(2 * DEAD_RETENTION_S)
             self.assertEqual(len(await self.names()), 3)
 
         self.run_with(test)
