--- a/bench/soak/soak.py
+++ b/bench/soak/soak.py
@@ -142,10 +142,10 @@
 
     async def _refuse(self, for_s: float) -> None:
         with self._findings.disturbed(*(each.number for each in self._world.instances)):
-            self._world.store.refuse = 503
+            self._world.store.refusal_status = 503
             self._world.store.end_watches()
             await trio.sleep(for_s)
-            self._world.store.refuse = None
+            self._world.store.refusal_status = None
 
     async def _disturb_store(self, instance: Instance, step: Step) -> None:
         faults = {
--- a/tests/common/entry_case.py
+++ b/tests/common/entry_case.py
@@ -20,10 +20,10 @@
 RELEASE = "POST /releases HTTP/1.1\r\nHost: e\r\nWagtailpoint-Workspace: surakkha\r\n"
 
 
-MOST_GROWTH = 24 * MEGABYTE
+MAX_GROWTH_BYTES = 24 * MEGABYTE
 
 
-def peak_memory(pid: int) -> int:
+def peak_memory_bytes(pid: int) -> int:
     """Return the peak resident memory of a process, in bytes."""
     match = re.search(r"VmHWM:\s+(\d+) kB", Path(f"/proc/{pid}/status").read_text())
     assert match is not None
@@ -133,7 +133,7 @@
         self.assertEqual(sorted(value), ["code", "reason", "verdict"])
         self.assertEqual(value["verdict"], verdict)
 
-    def check_unread(self, answer: Raw, status: int) -> None:
+    def check_refused_unread(self, answer: Raw, status: int) -> None:
         """Assert a refusal with ``may-have-run``.
 
         A request whose headers were not read may be a repetition of one that ran.
--- a/tests/common/fake_platform.py
+++ b/tests/common/fake_platform.py
@@ -7,7 +7,7 @@
 import trio
 from result import Err, Ok, Result
 
-from tests.common.object_store import MOST_EVENTS_KEPT, ObjectStore
+from tests.common.object_store import MAX_EVENTS, ObjectStore
 from wagtailpoint.errors import OutcomeUnknown, PlatformUnavailable, WatchTooOld
 from wagtailpoint.ports.platform import (
     Conflict,
@@ -44,8 +44,8 @@
         counts: Calls by (method, kind); a waiting watch as one.
     """
 
-    def __init__(self, *, most_events: int = MOST_EVENTS_KEPT) -> None:
-        self.store = ObjectStore(most_events=most_events)
+    def __init__(self, *, max_events: int = MAX_EVENTS) -> None:
+        self.store = ObjectStore(max_events=max_events)
         self.down = False
         self.silent = False
         self.lose_answers = 0
--- a/tests/common/object_store.py
+++ b/tests/common/object_store.py
@@ -7,7 +7,7 @@
 
 from wagtailpoint.ports.platform import Conflict, StoredObject, WatchBatch, WatchEvent
 
-MOST_EVENTS_KEPT = 1000
+MAX_EVENTS = 1000
 
 
 class _Record(NamedTuple):
@@ -23,12 +23,12 @@
     def __init__(
         self,
         *,
-        most_events: int = MOST_EVENTS_KEPT,
+        max_events: int = MAX_EVENTS,
         monotonic: Callable[[], float] = time.monotonic,
     ) -> None:
         self._objects: dict[tuple[str, str], StoredObject] = {}
         self._history: deque[_Record] = deque()
-        self._most_events = most_events
+        self._max_events = max_events
         self._monotonic = monotonic
         self._last_discarded_version = 0
         self._version = 0
@@ -40,7 +40,7 @@
 
     def copy(self) -> "ObjectStore":
         """Return an independent copy, which serves as a lagging replica."""
-        copy = ObjectStore(most_events=self._most_events, monotonic=self._monotonic)
+        copy = ObjectStore(max_events=self._max_events, monotonic=self._monotonic)
         copy._objects = dict(self._objects)
         copy._history = deque(self._history)
         copy._last_discarded_version = self._last_discarded_version
@@ -78,7 +78,7 @@
 
     def _append_event(self, action: Literal["put", "delete"], stored: StoredObject) -> None:
         self._history.append(_Record(self._monotonic(), WatchEvent(action, stored)))
-        if len(self._history) > self._most_events:
+        if len(self._history) > self._max_events:
             self._last_discarded_version = self._history.popleft().event.stored.version
 
     def events_since(
--- a/tests/common/steering_group.py
+++ b/tests/common/steering_group.py
@@ -26,27 +26,27 @@
         self.process = process
 
     @property
-    def watches(self) -> bool:
+    def watches_store(self) -> bool:
         """Whether it watches the store itself, according to its last log line on that."""
         lines = [line for line in self.process.log.splitlines() if "event=watching " in line]
         return bool(lines) and "itself=True" in lines[-1]
 
     async def status_of(self, target: str) -> int:
         """Return the status of a request; 0 if the connection failed."""
-        return (await ask(self.address, CALLER_PORT, target, "X-Attempt-Id: a1"))[0]
+        return (await send_get(self.address, CALLER_PORT, target, "X-Attempt-Id: a1"))[0]
 
-    async def serves(self) -> int:
+    async def status_of_valid_request(self) -> int:
         """Return the status of a valid request."""
         return await self.status_of("/look/1")
 
-    async def named(self) -> set[str]:
+    async def lookup_addresses(self) -> set[str]:
         """Return the addresses of the entries that its lookup answer contains."""
         target = f"/api/resolve?Name={HOST}&Region=a&Zone=a-1"
-        _, body = await ask(self.address, LOOKUP_PORT, target)
+        _, body = await send_get(self.address, LOOKUP_PORT, target)
         return set(json.loads(body)["Addresses"]) if body.startswith(b"{") else set()
 
 
-async def ask(address: str, port: int, target: str, *headers: str) -> tuple[int, bytes]:
+async def send_get(address: str, port: int, target: str, *headers: str) -> tuple[int, bytes]:
     """Send a GET; return status and body, with status 0 if the connection failed."""
     try:
         stream = await trio.open_tcp_stream(address, port)
@@ -61,7 +61,7 @@
     return int(data.split(b" ")[1]), data.partition(b"\r\n\r\n")[2]
 
 
-async def until(condition: Callable[[], Awaitable[bool]], limit_s: float, what: str) -> None:
+async def wait_until(condition: Callable[[], Awaitable[bool]], limit_s: float, what: str) -> None:
     """Wait until a condition holds.
 
     Raises:
@@ -74,9 +74,9 @@
     raise AssertionError(f"not within {limit_s} s: {what}")
 
 
-async def all_serve(instances: Sequence[Instance], status: int) -> bool:
+async def all_return_status(instances: Sequence[Instance], status: int) -> bool:
     """Return whether all instances answer a valid request with this status."""
-    return all([await instance.serves() == status for instance in instances])
+    return all([await instance.status_of_valid_request() == status for instance in instances])
 
 
 @asynccontextmanager
--- a/tests/common/users_store.py
+++ b/tests/common/users_store.py
@@ -18,13 +18,13 @@
     """Serves objects by kind and name, with one revision counter and watches.
 
     Attributes:
-        refuse: If set, the status with which every call is answered.
+        refusal_status: If set, the status with which every call is answered.
         history_from: Watches from an older revision are answered with status 410.
         calls: Method and target of each request, in order of arrival.
     """
 
     def __init__(self) -> None:
-        self.refuse: int | None = None
+        self.refusal_status: int | None = None
         self.history_from = 0
         self.calls: list[str] = []
         self._revision = 1
@@ -87,8 +87,8 @@
             await stream.send(response(data, status=f"{status} X"))
 
     async def _answer(self, method: str, target: str, body: bytes) -> tuple[int, Any]:
-        if self.refuse is not None:
-            return self.refuse, {"Error": "refused"}
+        if self.refusal_status is not None:
+            return self.refusal_status, {"Error": "refused"}
         parts = urlsplit(target)
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
         kind, _, name = parts.path.removeprefix("/api/objects/").partition("/")
@@ -112,8 +112,8 @@
         with trio.move_on_after(wait_s):
             while not self._events_since(kind, since):
                 await self._changed.wait()
-                if self.refuse is not None:
-                    return self.refuse, {"Error": "refused"}
+                if self.refusal_status is not None:
+                    return self.refusal_status, {"Error": "refused"}
         return 200, {"events": self._events_since(kind, since), "StoreRevision": self._revision}
 
     def _events_since(self, kind: str, since: int) -> list[dict[str, Any]]:
--- a/tests/cover/test_config_watcher.py
+++ b/tests/cover/test_config_watcher.py
@@ -32,7 +32,7 @@
 
 class WatcherTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.platform = FakePlatform(most_events=10)
+        self.platform = FakePlatform(max_events=10)
         self.store = ConfigStore(platform=self.platform, clock_wall=lambda: 0.0)
         logger.disable("wagtailpoint")
         self.addCleanup(logger.enable, "wagtailpoint")
@@ -208,7 +208,7 @@
 
     def test_watch_lost_in_a_short_silence_delays_no_change_beyond_its_bound(self) -> None:
         """Guards against a watch that is never answered while all other calls are."""
-        self.platform = TimingOutPlatform(most_events=10)
+        self.platform = TimingOutPlatform(max_events=10)
         self.store = ConfigStore(platform=self.platform, clock_wall=lambda: 0.0)
 
         async def test(_: ConfigWatcher) -> None:
--- a/tests/cover/test_kind_follower.py
+++ b/tests/cover/test_kind_follower.py
@@ -38,7 +38,7 @@
     def setUp(self) -> None:
         logger.disable("wagtailpoint")
         self.addCleanup(logger.enable, "wagtailpoint")
-        self.platform = FakePlatform(most_events=5)
+        self.platform = FakePlatform(max_events=5)
         self.peers = FakePeerStates()
         self.seen: list[set[str]] = []
 
--- a/tests/cover/test_object_store.py
+++ b/tests/cover/test_object_store.py
@@ -168,7 +168,7 @@
     def test_refused_call_changed_nothing(self) -> None:
         async def test(client: ObjectStore) -> None:
             for status in (503, 429):
-                self.store.refuse = status
+                self.store.refusal_status = status
                 outcome = await client.put(kind="k", name="a", value=1, if_version=ABSENT)
                 self.assertIsInstance(outcome.err(), PlatformUnavailable)
 
--- a/tests/integration/test_crashing_requests.py
+++ b/tests/integration/test_crashing_requests.py
@@ -9,7 +9,7 @@
 
 from tests.common.crashing_servers import Crash, CrashingServers
 from tests.common.node_settings_file import unsplit_config_document
-from tests.common.steering_group import Instance, all_serve, steering_group, until
+from tests.common.steering_group import Instance, all_return_status, steering_group, wait_until
 from tests.common.users_store import UsersStore
 from wagtailpoint.quarantine.stored import KIND
 
@@ -52,7 +52,9 @@
                     self.store.put("config", "main", unsplit_config_document())
                     nursery.start_soon(self.servers.run, SERVERS)
                     async with steering_group(store, INSTANCES) as instances:
-                        await until(lambda: all_serve(instances, 200), LIMIT_S / 2, "all serve")
+                        await wait_until(
+                            lambda: all_return_status(instances, 200), LIMIT_S / 2, "all serve"
+                        )
                         await test(instances)
                     nursery.cancel_scope.cancel()
 
@@ -91,7 +93,9 @@
                 instance.process.kill()
             for instance in instances:
                 instance.process.start()
-            await until(lambda: all_serve(instances, 200), LIMIT_S / 2, "all serve again")
+            await wait_until(
+                lambda: all_return_status(instances, 200), LIMIT_S / 2, "all serve again"
+            )
             await self.send_in_turn(instances, SENDING_S)
             self.assertLessEqual(len(self.late_crashes()), MAX_LATE_CRASHES)
 
@@ -112,7 +116,7 @@
             async def all_serve_it() -> bool:
                 return all([await item.status_of(CRASHING_TARGET) == 200 for item in instances])
 
-            await until(all_serve_it, APPLY_TIMEOUT_S, "all serve it")
+            await wait_until(all_serve_it, APPLY_TIMEOUT_S, "all serve it")
 
         self.run_with(test)
 
--- a/tests/integration/test_entry_interface.py
+++ b/tests/integration/test_entry_interface.py
@@ -2,24 +2,24 @@
 
 from tests.common.entry_case import (
     BALANCE,
+    MAX_GROWTH_BYTES,
     MEGABYTE,
-    MOST_GROWTH,
     RELEASE,
     EntryTestCase,
     Raw,
     RawConnection,
-    peak_memory,
+    peak_memory_bytes,
 )
 
 
 class MalformedRequestTest(EntryTestCase):
     def test_bytes_that_are_not_http(self) -> None:
-        self.check_unread(self.ask("hello entry\r\n\r\n"), 400)
+        self.check_refused_unread(self.ask("hello entry\r\n\r\n"), 400)
 
     def test_headers_over_the_limit(self) -> None:
         with self.connected() as connection:
             connection.send(BALANCE + "X-Long: " + "a" * 100_000)
-            self.check_unread(connection.read(), 431)
+            self.check_refused_unread(connection.read(), 431)
             self.assertTrue(connection.ends())
 
     def test_content_length_with_transfer_encoding_is_refused(self) -> None:
@@ -30,7 +30,7 @@
         caller's request.
         """
         both = "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"
-        self.check_unread(self.ask(RELEASE + both + "0\r\n\r\n"), 400)
+        self.check_refused_unread(self.ask(RELEASE + both + "0\r\n\r\n"), 400)
 
     def test_deadline_with_thousands_of_digits_is_refused(self) -> None:
         """Guards against status 500 without a verdict for a deadline of 5000 digits.
@@ -48,7 +48,7 @@
         propagates through the nursery of all connections.
         """
         preface = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + bytes.fromhex("000000040000000000")
-        self.check_unread(self.ask(preface), 505)
+        self.check_refused_unread(self.ask(preface), 505)
         self.check_still_serves()
 
     def test_upgrades_are_ignored(self) -> None:
@@ -191,7 +191,7 @@
     def test_slow_headers_are_refused(self) -> None:
         with self.connected() as connection:
             connection.send(BALANCE)
-            self.check_unread(connection.read(), 408)
+            self.check_refused_unread(connection.read(), 408)
             self.assertTrue(connection.ends())
 
     def test_idle_connection_is_closed_without_a_reply(self) -> None:
@@ -225,7 +225,7 @@
         A caller requests a large download and reads nothing. Hypercorn shields its writes from
         cancellation and sets no timeout on them.
         """
-        before = peak_memory(self.entry.pid)
+        before = peak_memory_bytes(self.entry.pid)
         with self.connected(receive_buffer=64 * 1024) as connection:
             connection.send(
                 BALANCE.replace("/deposits/balance/7", "/statements/bulk/50000000") + "\r\n"
@@ -240,4 +240,4 @@
             )
         self.wait_until(lambda: self.open_requests() == 0, "it is closed")
         # Data that the caller did not read was not read from the backend server either.
-        self.assertLess(peak_memory(self.entry.pid) - before, MOST_GROWTH)
+        self.assertLess(peak_memory_bytes(self.entry.pid) - before, MAX_GROWTH_BYTES)
--- a/tests/integration/test_entry_observed.py
+++ b/tests/integration/test_entry_observed.py
@@ -2,12 +2,12 @@
 
 from tests.common.entry_case import (
     BALANCE,
+    MAX_GROWTH_BYTES,
     MEGABYTE,
-    MOST_GROWTH,
     RECEIVE_BYTES,
     RELEASE,
     EntryTestCase,
-    peak_memory,
+    peak_memory_bytes,
 )
 
 
@@ -60,7 +60,7 @@
     SIZE = 200 * MEGABYTE
 
     def test_memory_is_bounded_during_a_long_download(self) -> None:
-        before = peak_memory(self.entry.pid)
+        before = peak_memory_bytes(self.entry.pid)
         path = f"/statements/bulk/{self.SIZE}"
         with self.connected() as connection:
             connection.send(BALANCE.replace("/deposits/balance/7", path) + "\r\n")
@@ -69,10 +69,10 @@
                 data = connection.socket.recv(RECEIVE_BYTES)
                 self.assertTrue(data, "the download was cut")
                 received += len(data)
-        self.assertLess(peak_memory(self.entry.pid) - before, MOST_GROWTH)
+        self.assertLess(peak_memory_bytes(self.entry.pid) - before, MAX_GROWTH_BYTES)
 
     def test_memory_is_bounded_during_a_long_upload(self) -> None:
-        before = peak_memory(self.entry.pid)
+        before = peak_memory_bytes(self.entry.pid)
         piece = b"x" * MEGABYTE
         with self.connected() as connection:
             connection.send(RELEASE + f"Content-Length: {self.SIZE}\r\n\r\n")
@@ -80,4 +80,4 @@
                 connection.send(piece)
             answer = connection.read()
         self.assertIn((answer.status, answer.verdict), [(200, "ran"), (504, "may-have-run")])
-        self.assertLess(peak_memory(self.entry.pid) - before, MOST_GROWTH)
+        self.assertLess(peak_memory_bytes(self.entry.pid) - before, MAX_GROWTH_BYTES)
--- a/tests/integration/test_steering_group.py
+++ b/tests/integration/test_steering_group.py
@@ -8,7 +8,7 @@
 
 from tests.common.node_settings_file import server_document, unsplit_config_document
 from tests.common.scripted_server import ScriptedStream, response, scripted_server
-from tests.common.steering_group import Instance, all_serve, steering_group, until
+from tests.common.steering_group import Instance, all_return_status, steering_group, wait_until
 from tests.common.users_store import UsersStore
 from wagtailpoint.discovery.watch_sharing import MAX_ALL_WATCHING, watcher_count
 from wagtailpoint.lookup.entry_choice import MIN_ENTRIES
@@ -54,16 +54,18 @@
         """Wait until all instances serve and the expected number of them watches the store."""
 
         async def settled() -> bool:
-            watching = sum(instance.watches for instance in instances)
-            return watching == watcher_count(INSTANCES) and await all_serve(instances, 200)
+            watching = sum(instance.watches_store for instance in instances)
+            return watching == watcher_count(INSTANCES) and await all_return_status(instances, 200)
 
-        await until(settled, LIMIT_S / 2, "all serve, and two of them watch the store")
+        await wait_until(settled, LIMIT_S / 2, "all serve, and two of them watch the store")
 
     def test_all_instances_follow_two_watchers(self) -> None:
         async def test(instances: list[Instance]) -> None:
             calls = len(self.store.calls)
             self.store.put("config", "main", unsplit_config_document("00000009", VirtualHosts=[]))
-            await until(lambda: all_serve(instances, 404), IN_FORCE_S, "the route is gone")
+            await wait_until(
+                lambda: all_return_status(instances, 404), IN_FORCE_S, "the route is gone"
+            )
             watches = [call for call in self.store.calls[calls:] if "/config?Watch" in call]
             self.assertLessEqual(len(watches), 2 * watcher_count(INSTANCES))
 
@@ -77,22 +79,26 @@
         """
 
         async def test(instances: list[Instance]) -> None:
-            killed = [instance for instance in instances if instance.watches]
+            killed = [instance for instance in instances if instance.watches_store]
             alive = [instance for instance in instances if instance not in killed]
             for instance in killed:
                 instance.process.kill()
             spec = self.store.spec("servers", "i-1")
             self.store.put("servers", "i-1", {**spec, "State": "draining"})
-            await until(lambda: all_serve(alive, 503), IN_FORCE_S, "nothing is sent there")
+            await wait_until(
+                lambda: all_return_status(alive, 503), IN_FORCE_S, "nothing is sent there"
+            )
             addresses = {f"{instance.address}:8144" for instance in alive}
 
             async def same_live_entries_are_named() -> bool:
-                named = {frozenset(await instance.named()) for instance in alive}
+                named = {frozenset(await instance.lookup_addresses()) for instance in alive}
                 return len(named) == 1 and all(
                     len(entries) == MIN_ENTRIES and entries <= addresses for entries in named
                 )
 
-            await until(same_live_entries_are_named, GONE_S, "lookups name the same live entries")
+            await wait_until(
+                same_live_entries_are_named, GONE_S, "lookups name the same live entries"
+            )
 
         self.run_with(test)
 
@@ -100,12 +106,14 @@
         """Guards against a change that is missed after the store refused all calls for seconds."""
 
         async def test(instances: list[Instance]) -> None:
-            self.store.refuse = 503
+            self.store.refusal_status = 503
             self.store.end_watches()
             await trio.sleep(3.0)
-            self.assertTrue(await all_serve(instances, 200))
-            self.store.refuse = None
+            self.assertTrue(await all_return_status(instances, 200))
+            self.store.refusal_status = None
             self.store.put("config", "main", unsplit_config_document("00000009", VirtualHosts=[]))
-            await until(lambda: all_serve(instances, 404), IN_FORCE_S, "the route is gone")
+            await wait_until(
+                lambda: all_return_status(instances, 404), IN_FORCE_S, "the route is gone"
+            )
 
         self.run_with(test)
--- a/tests/integration/test_steering_process.py
+++ b/tests/integration/test_steering_process.py
@@ -18,7 +18,7 @@
 from tests.common.processes import ModuleProcess
 from tests.common.scripted_server import ScriptedStream, response, scripted_server
 from tests.common.sockets import loopback_address
-from tests.common.steering_group import HOST, ask
+from tests.common.steering_group import HOST, send_get
 from tests.common.users_store import UsersStore
 
 LIMIT_S = 40
@@ -62,7 +62,7 @@
                         environment={"WAGTAILPOINT_NODE_FILE": str(self.file)},
                     )
                     with process:
-                        await self.until(200, lambda: ask(self.address, 8140, "/api/ready"))
+                        await self.until(200, lambda: send_get(self.address, 8140, "/api/ready"))
                         await test(process, self.address)
 
         trio.run(run)
@@ -78,16 +78,18 @@
             await trio.sleep(0.02)
 
     async def request(self, number: int = 1) -> tuple[int, bytes]:
-        return await ask(self.address, 8144, "/look/1", f"X-Attempt-Id: a{number}")
+        return await send_get(self.address, 8144, "/look/1", f"X-Attempt-Id: a{number}")
 
     def test_lookup_and_request(self) -> None:
         async def test(process: ModuleProcess, address: str) -> None:
-            status, body = await ask(address, 8143, f"/api/resolve?Name={HOST}&Region=a&Zone=a-1")
+            status, body = await send_get(
+                address, 8143, f"/api/resolve?Name={HOST}&Region=a&Zone=a-1"
+            )
             self.assertEqual(status, 200)
             self.assertEqual(json.loads(body)["Addresses"], [f"{address}:8144"])
             self.assertEqual(await self.request(), (200, b"ok"))
-            self.assertEqual((await ask(address, 8144, "/nowhere/"))[0], 404)
-            status, metrics = await ask(address, 9190, "/metrics")
+            self.assertEqual((await send_get(address, 8144, "/nowhere/"))[0], 404)
+            status, metrics = await send_get(address, 9190, "/metrics")
             self.assertIn(b"wagtailpoint_events_total", metrics)
             process.wait_log("event=request ")
             self.assertIn("event=config-in-force", process.log)
@@ -149,7 +151,7 @@
                 await trio.sleep(0.2)
                 process.terminate()
                 await trio.sleep(0.3)
-                self.assertEqual((await ask(address, 8140, "/api/ready"))[0], 503)
+                self.assertEqual((await send_get(address, 8140, "/api/ready"))[0], 503)
                 self.hold.set()
             self.hold = None
             self.assertEqual(answers, [(200, b"ok")])
@@ -172,11 +174,11 @@
 
     def test_unavailable_store_does_not_affect_requests(self) -> None:
         async def test(process: ModuleProcess, address: str) -> None:
-            self.store.refuse = 503
+            self.store.refusal_status = 503
             self.store.end_watches()
             await trio.to_thread.run_sync(process.wait_log, "event=store-lost ")
             self.assertEqual((await self.request())[0], 200)
-            self.store.refuse = None
+            self.store.refusal_status = None
             await trio.to_thread.run_sync(process.wait_log, "event=store-regained ")
             self.assertEqual((await self.request(2))[0], 200)
 
--- a/tests/integration/test_workspace_keys.py
+++ b/tests/integration/test_workspace_keys.py
@@ -9,7 +9,7 @@
 
 from tests.common.node_settings_file import server_document, unsplit_config_document
 from tests.common.scripted_server import ScriptedStream, response, scripted_server
-from tests.common.steering_group import CALLER_PORT, Instance, ask, steering_group, until
+from tests.common.steering_group import CALLER_PORT, Instance, send_get, steering_group, wait_until
 from tests.common.users_store import UsersStore
 
 LIMIT_S = 90
@@ -58,7 +58,7 @@
 
     async def status(self, instance: Instance, key: str) -> int:
         sent = (f"Authorization: Bearer {key}", "X-Attempt-Id: a1")
-        return (await ask(instance.address, CALLER_PORT, "/look/1", *sent))[0]
+        return (await send_get(instance.address, CALLER_PORT, "/look/1", *sent))[0]
 
     async def all_reply(self, instances: list[Instance], status: int, key: str = KEY) -> bool:
         return all([await self.status(instance, key) == status for instance in instances])
@@ -70,21 +70,21 @@
         """
 
         async def test(instances: list[Instance]) -> None:
-            await until(
+            await wait_until(
                 lambda: self.all_reply(instances, 200),
                 SERVE_AGAIN_TIMEOUT_S * 3,
                 "all serve the key",
             )
             self.assertTrue(await self.all_reply(instances, 401, "unknown"))
             self.store.put("config", "main", config("00000009", OTHER_KEY))
-            await until(lambda: self.all_reply(instances, 401), REVOKE_S, "the key is gone")
+            await wait_until(lambda: self.all_reply(instances, 401), REVOKE_S, "the key is gone")
             self.assertTrue(await self.all_reply(instances, 200, OTHER_KEY))
-            self.store.refuse = 503
+            self.store.refusal_status = 503
             self.store.end_watches()
             await trio.sleep(REVOKE_S)
             self.assertTrue(await self.all_reply(instances, 503, OTHER_KEY))
-            self.store.refuse = None
-            await until(
+            self.store.refusal_status = None
+            await wait_until(
                 lambda: self.all_reply(instances, 200, OTHER_KEY),
                 SERVE_AGAIN_TIMEOUT_S,
                 "all serve again",
@@ -102,7 +102,7 @@
         rate, burst, slack = 4.0, 4.0, 20.0
 
         async def test(instances: list[Instance]) -> None:
-            await until(
+            await wait_until(
                 lambda: self.all_reply(instances[:1], 200), SERVE_AGAIN_TIMEOUT_S * 3, "a token"
             )
             began, before = trio.current_time(), len(self.seen)
--- a/tests/nocover/test_config_races.py
+++ b/tests/nocover/test_config_races.py
@@ -32,7 +32,7 @@
     """Every call takes a while and may meet a fault, both by a seed."""
 
     def __init__(self, *, rng: random.Random) -> None:
-        super().__init__(most_events=10)
+        super().__init__(max_events=10)
         self.rng = rng
         self.healed = False
 
--- a/tests/nocover/test_follower_faults.py
+++ b/tests/nocover/test_follower_faults.py
@@ -48,7 +48,7 @@
     """Records the objects of the followed kind at each version."""
 
     def __init__(self) -> None:
-        super().__init__(most_events=6)
+        super().__init__(max_events=6)
         self.states: dict[int, Mapping[str, StoredObject]] = {0: {}}
 
     def put(self, kind: str, name: str, value: Any, if_version: int) -> StoredObject | Conflict:
