--- a/src/wagtailpoint/config/compile.py
+++ b/src/wagtailpoint/config/compile.py
@@ -1,7 +1,7 @@
-"""From the objects that operators write to the configuration that instances enforce.
+"""Compiles the objects that operators write into the configuration that instances enforce.
 
-The function is pure: every instance and the command-line tool come to the same result from the
-same objects, so what the tool accepts no instance refuses.
+The function is pure: every instance and the command-line tool get the same result for the same
+objects, so no instance rejects what the tool has accepted.
 """
 
 from collections.abc import Callable, Mapping
@@ -9,7 +9,7 @@
 
 from result import Err, Ok, Result
 
-from wagtailpoint.checking import ObjectReader, check_name, check_reference, one_of, show
+from wagtailpoint.checking import ObjectReader, check_name, check_reference, describe_choices, show
 from wagtailpoint.config.blocks import BlockList, BlockReader, RegionBlocks
 from wagtailpoint.config.model import (
     Drain,
@@ -29,15 +29,15 @@
     read_workspace,
     read_workspace_source,
 )
-from wagtailpoint.config.templates import Template, fill_in, read_template
+from wagtailpoint.config.templates import Template, expand_template, read_template
 from wagtailpoint.errors import InvalidInput, Mistake
 from wagtailpoint.ports.backend import BackendAddress
 
 _T = TypeVar("_T")
 
 
-class _Draft(NamedTuple):
-    """Every object read by itself; what they say of each other is not yet checked."""
+class _ParsedObjects(NamedTuple):
+    """The objects, each checked on its own; references between them are not checked yet."""
 
     regions: dict[str, Region]
     services: dict[str, Service]
@@ -50,7 +50,7 @@
 
     @property
     def failure_domains(self) -> list[str]:
-        """All failure domains of all regions."""
+        """The failure domains of all regions."""
         return [domain for region in self.regions.values() for domain in region.failure_domains]
 
 
@@ -60,40 +60,40 @@
     """Compile the effective configuration.
 
     Args:
-        version: The version that the objects make up.
+        version: The version of the configuration that the objects belong to.
         objects: The JSON value of each object, by ``kind/name``.
-        block_reader: One that is kept from one configuration to the next saves reading the client
-            blocks again that did not change; the result is the same.
+        block_reader: A reader reused between configurations, which skips unchanged client blocks;
+            it doesn't affect the result.
 
     Returns:
-        The configuration, or every mistake found, each with the object, the field, what was given
-        and what is expected.
+        The configuration, or every mistake found, each with the object, the field, the value given
+        and the value expected.
     """
     mistakes: list[Mistake] = []
-    draft = _read_all(objects, block_reader or BlockReader(), mistakes)
-    _check_regions(draft, mistakes)
-    _check_services(draft, mistakes)
-    workspaces = _expand_workspaces(draft, mistakes)
-    _check_moves(draft, workspaces, mistakes)
-    _check_drains(draft, mistakes)
-    _check_blocks(draft, mistakes)
+    parsed = _parse_objects(objects, block_reader or BlockReader(), mistakes)
+    _check_regions(parsed, mistakes)
+    _check_services(parsed, mistakes)
+    workspaces = _expand_workspaces(parsed, mistakes)
+    _check_moves(parsed, workspaces, mistakes)
+    _check_drains(parsed, mistakes)
+    _check_blocks(parsed, mistakes)
     if mistakes:
         return Err(InvalidInput(mistakes))
     config = EffectiveConfig(
         version=version,
-        regions=draft.regions,
-        services=draft.services,
+        regions=parsed.regions,
+        services=parsed.services,
         workspaces=workspaces,
-        moves=draft.moves,
-        drains=draft.drains,
-        client_blocks=draft.blocks,
+        moves=parsed.moves,
+        drains=parsed.drains,
+        client_blocks=parsed.blocks,
     )
     return Ok(config)
 
 
-def _read_all(
+def _parse_objects(
     objects: Mapping[str, Any], block_reader: BlockReader, mistakes: list[Mistake]
-) -> _Draft:
+) -> _ParsedObjects:
     by_kind: dict[str, dict[str, Any]] = {kind: {} for kind in KINDS}
     for key in sorted(objects):
         kind, _, name = key.partition("/")
@@ -103,15 +103,15 @@
             check_name(path=key, given=name, mistakes=mistakes)
             by_kind[kind][name] = objects[key]
 
-    def read(kind: str, read_one: Callable[[str, ObjectReader], _T]) -> dict[str, _T]:
+    def read(kind: str, read_object: Callable[[str, ObjectReader], _T]) -> dict[str, _T]:
         return {
-            name: read_one(
+            name: read_object(
                 name, ObjectReader(value=value, path=f"{kind}/{name}: ", mistakes=mistakes)
             )
             for name, value in by_kind[kind].items()
         }
 
-    return _Draft(
+    return _ParsedObjects(
         regions=read("region", read_region),
         services=read("service", read_service),
         templates=read("template", lambda name, reader: read_template(name, reader, mistakes)),
@@ -123,18 +123,18 @@
     )
 
 
-def _check_regions(draft: _Draft, mistakes: list[Mistake]) -> None:
-    owner: dict[str, str] = {}
-    for region in draft.regions.values():
+def _check_regions(parsed: _ParsedObjects, mistakes: list[Mistake]) -> None:
+    owners: dict[str, str] = {}
+    for region in parsed.regions.values():
         path = f"region/{region.name}: "
         for index, domain in enumerate(region.failure_domains):
-            place = f"{path}failure_domains[{index}]"
-            check_name(path=place, given=domain, mistakes=mistakes)
-            if domain in owner:
-                expected = f"a name of its own; region/{owner[domain]} has it too"
-                mistakes.append(Mistake(place, show(domain), expected))
-            owner[domain] = region.name
-        others = set(draft.regions) - {region.name}
+            field_path = f"{path}failure_domains[{index}]"
+            check_name(path=field_path, given=domain, mistakes=mistakes)
+            if domain in owners:
+                expected = f"a unique name; region/{owners[domain]} uses it too"
+                mistakes.append(Mistake(field_path, show(domain), expected))
+            owners[domain] = region.name
+        others = set(parsed.regions) - {region.name}
         for other in region.latency_ms:
             check_reference(
                 path=f"{path}latency_ms.{other}",
@@ -148,117 +148,123 @@
             mistakes.append(Mistake(f"{path}latency_ms.{other}", "nothing", expected))
 
 
-def _check_services(draft: _Draft, mistakes: list[Mistake]) -> None:
-    owner: dict[BackendAddress, str] = {}
-    for service in draft.services.values():
+def _check_services(parsed: _ParsedObjects, mistakes: list[Mistake]) -> None:
+    owners: dict[BackendAddress, str] = {}
+    for service in parsed.services.values():
         for group, servers in service.groups.items():
             for index, server in enumerate(servers):
-                place = f"service/{service.name}: groups.{group}[{index}]"
+                field_path = f"service/{service.name}: groups.{group}[{index}]"
                 check_reference(
-                    path=f"{place}.failure_domain",
+                    path=f"{field_path}.failure_domain",
                     given=server.failure_domain,
-                    known=draft.failure_domains,
+                    known=parsed.failure_domains,
                     what="a failure domain of a region",
                     mistakes=mistakes,
                 )
-                if server.address in owner:
-                    # Its slots would be given out twice, by two groups that don't know of it.
-                    expected = f"a backend server of its own; {owner[server.address]} has it too"
-                    mistakes.append(Mistake(place, str(server.address), expected))
+                if server.address in owners:
+                    # Its slots would be allocated twice, independently of each other.
+                    expected = (
+                        f"an address and port of its own; {owners[server.address]} has it too"
+                    )
+                    mistakes.append(Mistake(field_path, str(server.address), expected))
                 elif server.address.address and server.address.port:
-                    owner[server.address] = place
+                    owners[server.address] = field_path
 
 
-def _expand_workspaces(draft: _Draft, mistakes: list[Mistake]) -> dict[str, Workspace]:
+def _expand_workspaces(parsed: _ParsedObjects, mistakes: list[Mistake]) -> dict[str, Workspace]:
     workspaces = {}
-    for source in draft.sources.values():
+    for source in parsed.sources.values():
         path = f"workspace/{source.name}: "
-        template = draft.templates.get(source.template)
+        template = parsed.templates.get(source.template)
         if template is None:
             check_reference(
                 path=f"{path}template",
                 given=source.template,
-                known=draft.templates,
+                known=parsed.templates,
                 what="a template",
                 mistakes=mistakes,
             )
             continue
-        found: list[Mistake] = []
-        body = fill_in(template, source.parameters, path=f"{path}parameters", mistakes=found)
-        if not found:
-            reader = ObjectReader(value=body, path=path, mistakes=found)
+        found_mistakes: list[Mistake] = []
+        body = expand_template(
+            template, source.parameters, path=f"{path}parameters", mistakes=found_mistakes
+        )
+        if not found_mistakes:
+            reader = ObjectReader(value=body, path=path, mistakes=found_mistakes)
             workspace = read_workspace(source.name, template.name, reader)
-            _check_workspace(workspace, draft, found)
+            _check_workspace(workspace, parsed, found_mistakes)
             workspaces[source.name] = workspace
-            # The operator looks for the field in the workspace object, but it stands elsewhere.
+            # The path names the workspace, but the field is in the template.
             origin = f" (written in template/{template.name})"
-            found = [item._replace(expected=item.expected + origin) for item in found]
-        mistakes.extend(found)
+            found_mistakes = [
+                item._replace(expected=item.expected + origin) for item in found_mistakes
+            ]
+        mistakes.extend(found_mistakes)
     return workspaces
 
 
-def _check_workspace(workspace: Workspace, draft: _Draft, mistakes: list[Mistake]) -> None:
+def _check_workspace(workspace: Workspace, parsed: _ParsedObjects, mistakes: list[Mistake]) -> None:
     path = f"workspace/{workspace.name}: "
     for index, route in enumerate(workspace.routes):
-        place = f"{path}routes[{index}]"
+        field_path = f"{path}routes[{index}]"
         if not check_reference(
-            path=f"{place}.service",
+            path=f"{field_path}.service",
             given=route.service,
-            known=draft.services,
+            known=parsed.services,
             what="a service",
             mistakes=mistakes,
         ):
             continue
         check_reference(
-            path=f"{place}.class",
+            path=f"{field_path}.class",
             given=route.request_class,
-            known=draft.services[route.service].classes,
+            known=parsed.services[route.service].classes,
             what=f"a class of service/{route.service}",
             mistakes=mistakes,
         )
         if route.service not in workspace.groups:
-            expected = f"a group, {one_of(draft.services[route.service].groups)}"
+            expected = f"a group, {describe_choices(parsed.services[route.service].groups)}"
             mistakes.append(Mistake(f"{path}groups.{route.service}", "nothing", expected))
     for name, group in workspace.groups.items():
-        place = f"{path}groups.{name}"
+        field_path = f"{path}groups.{name}"
         if check_reference(
-            path=place, given=name, known=draft.services, what="a service", mistakes=mistakes
+            path=field_path, given=name, known=parsed.services, what="a service", mistakes=mistakes
         ):
             check_reference(
-                path=place,
+                path=field_path,
                 given=group,
-                known=draft.services[name].groups,
+                known=parsed.services[name].groups,
                 what=f"a group of service/{name}",
                 mistakes=mistakes,
             )
 
 
 def _check_moves(
-    draft: _Draft, workspaces: Mapping[str, Workspace], mistakes: list[Mistake]
+    parsed: _ParsedObjects, workspaces: Mapping[str, Workspace], mistakes: list[Mistake]
 ) -> None:
-    first: dict[tuple[str, str], str] = {}
-    for move in draft.moves.values():
+    first_moves: dict[tuple[str, str], str] = {}
+    for move in parsed.moves.values():
         path = f"move/{move.name}: "
         subject = (move.workspace, move.service)
-        if all(subject) and first.setdefault(subject, move.name) != move.name:
+        if all(subject) and first_moves.setdefault(subject, move.name) != move.name:
             given = show(f"{move.workspace}, {move.service}")
-            expected = f"one move of a workspace and service; move/{first[subject]} moves them"
+            expected = f"one move per workspace and service; move/{first_moves[subject]} has both"
             mistakes.append(Mistake(f"{path}workspace", given, expected))
         check_reference(
             path=f"{path}workspace",
             given=move.workspace,
-            known=draft.sources,
+            known=parsed.sources,
             what="a workspace",
             mistakes=mistakes,
         )
         if check_reference(
             path=f"{path}service",
             given=move.service,
-            known=draft.services,
+            known=parsed.services,
             what="a service",
             mistakes=mistakes,
         ):
-            _check_move_groups(move, draft.services[move.service], workspaces, mistakes)
+            _check_move_groups(move, parsed.services[move.service], workspaces, mistakes)
 
 
 def _check_move_groups(
@@ -279,22 +285,23 @@
     current = workspace.groups.get(service.name)
     if current is None:
         expected = f"a service that workspace/{workspace.name} uses"
-        expected += f", {one_of(workspace.groups)}"
+        expected += f", {describe_choices(workspace.groups)}"
         mistakes.append(Mistake(f"{path}service", show(service.name), expected))
     elif current not in (move.from_group, move.to_group):
-        # A workspace already at to_group is right: that is how a finished move is settled.
+        # The workspace may already name to_group: a move is completed by writing to_group into the
+        # workspace and then deleting the move.
         expected = f"{show(current)}, the group that serves workspace/{workspace.name} now"
         mistakes.append(Mistake(f"{path}from_group", show(move.from_group), expected))
 
 
-def _check_drains(draft: _Draft, mistakes: list[Mistake]) -> None:
+def _check_drains(parsed: _ParsedObjects, mistakes: list[Mistake]) -> None:
     servers = {
         str(server.address)
-        for service in draft.services.values()
+        for service in parsed.services.values()
         for group in service.groups.values()
         for server in group
     }
-    for drain in draft.drains.values():
+    for drain in parsed.drains.values():
         path = f"drain/{drain.name}: "
         if drain.backend_server is not None and str(drain.backend_server) not in servers:
             expected = "the address and port of a backend server of a service"
@@ -304,18 +311,18 @@
             check_reference(
                 path=f"{path}failure_domain",
                 given=drain.failure_domain,
-                known=draft.failure_domains,
+                known=parsed.failure_domains,
                 what="a failure domain of a region",
                 mistakes=mistakes,
             )
 
 
-def _check_blocks(draft: _Draft, mistakes: list[Mistake]) -> None:
-    for name, part in draft.block_parts.items():
+def _check_blocks(parsed: _ParsedObjects, mistakes: list[Mistake]) -> None:
+    for name, part in parsed.block_parts.items():
         check_reference(
             path=f"blocks/{name}: region",
             given=part.region,
-            known=draft.regions,
+            known=parsed.regions,
             what="a region",
             mistakes=mistakes,
         )
--- a/src/wagtailpoint/config/reader.py
+++ b/src/wagtailpoint/config/reader.py
@@ -1,4 +1,4 @@
-"""Reading the configuration's objects: the head, the chain of manifests and the contents."""
+"""Reads the stored configuration: the head, the chain of manifests and the contents."""
 
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple, TypeVar
@@ -15,19 +15,19 @@
     Head,
     Manifest,
     Snapshot,
-    hash_of,
-    info_of,
+    change_info,
+    compute_hash,
 )
 from wagtailpoint.errors import PlatformUnavailable
 from wagtailpoint.ports.platform import ABSENT, Platform, StoredObject
 
-_MOST_FETCHES_AT_ONCE = 8
+_MAX_CONCURRENT_FETCHES = 8
 
 _T = TypeVar("_T")
 
 
-class Current(NamedTuple):
-    """The head as it was read, and its manifest; before the first change both are absent."""
+class CurrentHead(NamedTuple):
+    """The head that was read and its manifest; before the first change both are absent."""
 
     head_version: int
     manifest_name: str | None
@@ -35,21 +35,21 @@
 
     @property
     def version(self) -> int:
-        """The version of the newest change, 0 before the first."""
+        """The version of the newest change; 0 before the first change."""
         return self.manifest["version"] if self.manifest else 0
 
     @property
     def objects(self) -> Mapping[str, str]:
-        """The hash of each object by ``kind/name``."""
+        """The hash of each object's content, by ``kind/name``."""
         return self.manifest["objects"] if self.manifest else {}
 
 
 class ConfigReader:
-    """Reads heads, manifests and contents; keeps nothing.
+    """Reads heads, manifests and contents; caches nothing.
 
     Args:
-        platform: Is read.
-        keep: Is given the value of each content as it is read, and returns what to keep of it.
+        platform: The platform that stores them.
+        keep: Maps the value of each content that is read to the form stored in the snapshot.
     """
 
     def __init__(
@@ -58,89 +58,95 @@
         self._platform = platform
         self._keep = keep
 
-    async def current(self) -> Result[Current, PlatformUnavailable]:
+    async def read_current(self) -> Result[CurrentHead, PlatformUnavailable]:
         """Read the head and its manifest."""
         head = await self._platform.get(kind=HEAD_KIND, name=HEAD_NAME)
-        return head if isinstance(head, Err) else await self.current_at(head.ok_value)
+        return head if isinstance(head, Err) else await self.read_at_head(head.ok_value)
 
-    async def current_at(self, head: StoredObject | None) -> Result[Current, PlatformUnavailable]:
-        """Read the manifest of a head that was already read."""
+    async def read_at_head(
+        self, head: StoredObject | None
+    ) -> Result[CurrentHead, PlatformUnavailable]:
+        """Read the manifest that an already read head names."""
         if head is None:
-            return Ok(Current(ABSENT, None, None))
-        value = converted(head.value, Head)
+            return Ok(CurrentHead(ABSENT, None, None))
+        value = convert_value(head.value, Head)
         if isinstance(value, Err):
             return value
         name = value.ok_value["manifest"]
-        return (await self.manifest(name)).map(lambda one: Current(head.version, name, one))
+        return (await self.read_manifest(name)).map(
+            lambda manifest: CurrentHead(head.version, name, manifest)
+        )
 
-    async def manifest(self, name: str) -> Result[Manifest, PlatformUnavailable]:
-        """Read one manifest."""
-        return (await self._immutable(MANIFEST_KIND, name)).and_then(
-            lambda value: converted(value, Manifest)
+    async def read_manifest(self, name: str) -> Result[Manifest, PlatformUnavailable]:
+        """Read a manifest by its name."""
+        return (await self._read_immutable(MANIFEST_KIND, name)).and_then(
+            lambda value: convert_value(value, Manifest)
         )
 
-    async def _immutable(self, kind: str, name: str) -> Result[Any, PlatformUnavailable]:
+    async def _read_immutable(self, kind: str, name: str) -> Result[Any, PlatformUnavailable]:
         outcome = await self._platform.get(kind=kind, name=name)
         if isinstance(outcome, Err):
             return outcome
         if outcome.ok_value is None:
-            # It was written before the head that led here, so only a lagging read misses it.
-            return Err(PlatformUnavailable(f"{kind}/{name} can't be read yet"))
+            # The object was written before the head that refers to it, so the read was stale.
+            return Err(PlatformUnavailable(f"stale read: {kind}/{name} is not visible yet"))
         return Ok(outcome.ok_value.value)
 
-    async def newer_than(
-        self, current: Current, version: int
+    async def read_manifests_after(
+        self, current: CurrentHead, version: int
     ) -> Result[list[Manifest], PlatformUnavailable]:
-        """The manifests after ``version``, the newest first."""
+        """Return the manifests of all versions after ``version``, newest first."""
         found: list[Manifest] = []
         manifest = current.manifest
         while manifest is not None and manifest["version"] > version:
             found.append(manifest)
             if manifest["parent"] is None or manifest["version"] == version + 1:
                 break
-            parent = await self.manifest(manifest["parent"])
+            parent = await self.read_manifest(manifest["parent"])
             if isinstance(parent, Err):
                 return parent
             manifest = parent.ok_value
         return Ok(found)
 
-    async def snapshot(
+    async def read_snapshot(
         self, manifest: Manifest, known: Mapping[str, Any]
     ) -> Result[Snapshot, PlatformUnavailable]:
-        """Put a snapshot together, fetching the contents that are not in ``known``."""
+        """Build the snapshot of a manifest; fetch only contents whose hash is not in ``known``."""
         hashes = manifest["objects"]
-        contents = {one: known[one] for one in hashes.values() if one in known}
+        contents = {name: known[name] for name in hashes.values() if name in known}
         missing = iter(sorted(set(hashes.values()) - contents.keys()))
         failures: list[PlatformUnavailable] = []
 
         async def fetch() -> None:
             for name in missing:
-                outcome = await self._immutable(CONTENT_KIND, name)
+                outcome = await self._read_immutable(CONTENT_KIND, name)
                 if isinstance(outcome, Err):
                     failures.append(outcome.err_value)
                     return
                 contents[name] = self._keep(outcome.ok_value)
 
         async with trio.open_nursery() as nursery:
-            for _ in range(_MOST_FETCHES_AT_ONCE):
+            for _ in range(_MAX_CONCURRENT_FETCHES):
                 nursery.start_soon(fetch)
         if failures:
             return Err(failures[0])
         objects = {key: contents[content] for key, content in hashes.items()}
-        return Ok(Snapshot(info_of(manifest), objects, hashes))
+        return Ok(Snapshot(change_info(manifest), objects, hashes))
 
 
-def converted(value: Any, wire_type: type[_T]) -> Result[_T, PlatformUnavailable]:
-    """The value as ``wire_type``, or what is wrong with it."""
+def convert_value(value: Any, wire_type: type[_T]) -> Result[_T, PlatformUnavailable]:
+    """Convert a stored value to ``wire_type``; an error if it doesn't match the type."""
     try:
         return Ok(msgspec.convert(value, wire_type))
     except msgspec.ValidationError as error:
-        return Err(PlatformUnavailable(f"not a {wire_type.__name__.lower()}: {error}"))
+        return Err(PlatformUnavailable(f"invalid {wire_type.__name__.lower()}: {error}"))
 
 
-def contents_of(snapshot: Snapshot | None) -> dict[str, Any]:
-    """The contents of a snapshot by their hash."""
+def contents_by_hash(snapshot: Snapshot | None) -> dict[str, Any]:
+    """Return the contents of a snapshot by their hash."""
     if snapshot is None:
         return {}
     hashes = snapshot.content_hashes
-    return {hashes.get(key) or hash_of(value): value for key, value in snapshot.objects.items()}
+    return {
+        hashes.get(key) or compute_hash(value): value for key, value in snapshot.objects.items()
+    }
--- a/src/wagtailpoint/daemon/instance.py
+++ b/src/wagtailpoint/daemon/instance.py
@@ -80,9 +80,9 @@
         hybrid_clock = HybridClock(wall=self._clock.wall)
         name = f"{settings.address}:{settings.port}"
         self._metrics = Metrics()
-        self._timeline = Timeline(clock=hybrid_clock, instance=name, most_events=TIMELINE_EVENTS)
+        self._timeline = Timeline(clock=hybrid_clock, instance=name, max_events=TIMELINE_EVENTS)
         self._request_timeline = Timeline(
-            clock=hybrid_clock, instance=name, most_events=REQUEST_EVENTS
+            clock=hybrid_clock, instance=name, max_events=REQUEST_EVENTS
         )
         self._platform = HttpPlatform(
             addresses=[(replica.address, replica.port) for replica in settings.platform],
@@ -222,7 +222,7 @@
 
     def _snapshot_from_peer(self, snapshot: Snapshot) -> None:
         self._config.offer(snapshot, source="peer")
-        self._watcher.learn(snapshot)
+        self._watcher.deliver(snapshot)
 
     def _apply_config(self, config: EffectiveConfig) -> None:
         self._lookups.apply(config)
