--- a/bench/locality.py
+++ b/bench/locality.py
@@ -1,11 +1,11 @@
-"""Latency when an entry prefers near backend servers, against one that takes them all alike.
+"""Compares the latency of an entry that prefers near backend servers with one that does not.
 
     python -m bench.locality
 
-Runs the real choice of backend servers and the real slot rule under a clock that jumps: one entry
-in each of three regions with its own callers, backend servers with three slots each, and the given
-latency between regions. Arrivals and service times are seeded; the order of tasks that are due
-together is trio's, and moves the figures a little.
+Runs the real choice of backend servers and the real slot pool in virtual time: one entry in each of
+three regions with its own callers, backend servers with three slots each, and a fixed latency
+between regions. Arrivals and service times are seeded; trio decides the order of tasks that are due
+at the same time, so figures vary slightly between runs.
 """
 
 from collections.abc import Mapping, Sequence
@@ -26,17 +26,17 @@
 from wagtailpoint.observe.metrics import Metrics
 
 SERVICE_S = 0.020
-BETWEEN_REGIONS_S = 0.055
-SERVERS_A_REGION = 6
+ONE_WAY_BETWEEN_REGIONS_S = 0.055
+SERVERS_PER_REGION = 6
 SLOTS = 3
 TIMEOUT_S = 2.0
 
 
 class Load(NamedTuple):
-    """What the callers of each region send, as a part of what one region's servers can do."""
+    """The load from each region's callers, as a fraction of the capacity of one region."""
 
     name: str
-    of_region: Sequence[float]
+    region_fractions: Sequence[float]
 
 
 LOADS = (
@@ -46,59 +46,59 @@
 )
 
 
-class Measured(NamedTuple):
-    """Latency of a run in milliseconds, and how many requests left their region."""
+class RunResult(NamedTuple):
+    """Latency of a run in milliseconds, refusals, and fraction of requests that left the region."""
 
     median_ms: float
     p99_ms: float
     refused: int
-    left_region_part: float
+    left_region_fraction: float
 
 
-class AllAlike:
-    """A choice that ignores regions, as it was before."""
+class RegionBlindChoice:
+    """A choice that ignores regions: the baseline of the comparison."""
 
     def __init__(self, *, choice: ServerChoice) -> None:
         self._choice = choice
 
     def candidates(self) -> Sequence[BackendServer]:
-        """The same backend servers, by name."""
+        """Return the same backend servers, sorted by address instead of distance."""
         return sorted(self._choice.candidates())
 
     def tier_of(self, server: BackendServer) -> int:
-        """One tier for all."""
+        """Return the same tier for every backend server."""
         return 0
 
     def record_taken(self, server: BackendServer) -> None:
-        """Pass it on."""
+        """Forward the taken slot to the wrapped choice."""
         self._choice.record_taken(server)
 
 
 class _Run:
-    """One run: the backend servers' real slots, the entries, and what was measured."""
+    """A run of the entries of all regions with shared backend servers."""
 
     def __init__(self, *, config: EffectiveConfig, near: bool, seed: int) -> None:
         self._config = config
         self._near = near
         self._random = Random(seed)
-        self._slots_of: dict[BackendServer, trio.Semaphore] = {}
+        self._slots_by_server: dict[BackendServer, trio.Semaphore] = {}
         self._latencies: list[float] = []
         self._refused = 0
-        self._left = 0
+        self._left_region = 0
 
-    async def measure(self, load: Load, requests: int) -> Measured:
-        """Send the load from all regions."""
+    async def measure(self, load: Load, requests: int) -> RunResult:
+        """Send the load from all regions and return the results."""
         async with trio.open_nursery() as nursery:
-            for number, part in enumerate(load.of_region):
-                nursery.start_soon(self._entry, f"region-{number}-a", part, requests)
-        return Measured(
+            for number, fraction in enumerate(load.region_fractions):
+                nursery.start_soon(self._run_entry, f"region-{number}-a", fraction, requests)
+        return RunResult(
             1000 * median(self._latencies),
             1000 * quantiles(self._latencies, n=100)[98],
             self._refused,
-            self._left / len(self._latencies),
+            self._left_region / len(self._latencies),
         )
 
-    async def _entry(self, failure_domain: str, part: float, requests: int) -> None:
+    async def _run_entry(self, failure_domain: str, fraction: float, requests: int) -> None:
         clock = TrioClock()
         servers = ConfiguredServers(
             config=lambda: self._config,
@@ -108,77 +108,84 @@
             failure_domain=failure_domain,
         )
         pool = SlotPool(clock=clock, max_queued=500)
-        rate = part * SERVERS_A_REGION * SLOTS / SERVICE_S
+        arrival_rate = fraction * SERVERS_PER_REGION * SLOTS / SERVICE_S
         async with trio.open_nursery() as nursery:
-            for _ in range(int(requests * part)):
+            for _ in range(int(requests * fraction)):
                 nursery.start_soon(self._request, servers, pool, failure_domain)
-                await trio.sleep(self._random.expovariate(rate))
+                await trio.sleep(self._random.expovariate(arrival_rate))
 
     async def _request(
         self, servers: ConfiguredServers, pool: SlotPool, failure_domain: str
     ) -> None:
-        began = trio.current_time()
-        plan = small_plan(self._config, deadline=began + TIMEOUT_S)
+        started_at = trio.current_time()
+        plan = small_plan(self._config, deadline=started_at + TIMEOUT_S)
         choice: ServerChoice = servers.choice(plan)
         if not self._near:
-            choice = AllAlike(choice=choice)
+            choice = RegionBlindChoice(choice=choice)
         demand = SlotDemand("desk", choice, plan.policy, plan.deadline)
         admitted = await pool.acquire(demand)
         if isinstance(admitted, Err):
             self._refused += 1
             return
         slot = admitted.ok_value
-        away = slot.server.failure_domain[:-2] != failure_domain[:-2]
-        self._left += away
-        await trio.sleep(BETWEEN_REGIONS_S if away else 0.0)
-        async with self._slots_of.setdefault(slot.server, trio.Semaphore(SLOTS)):
+        is_remote = slot.server.failure_domain[:-2] != failure_domain[:-2]
+        self._left_region += is_remote
+        await trio.sleep(ONE_WAY_BETWEEN_REGIONS_S if is_remote else 0.0)
+        async with self._slots_by_server.setdefault(slot.server, trio.Semaphore(SLOTS)):
             await trio.sleep(self._random.expovariate(1 / SERVICE_S))
-        await trio.sleep(BETWEEN_REGIONS_S if away else 0.0)
+        await trio.sleep(ONE_WAY_BETWEEN_REGIONS_S if is_remote else 0.0)
         pool.release(slot)
-        self._latencies.append(trio.current_time() - began)
+        self._latencies.append(trio.current_time() - started_at)
 
 
-def measure(*, load: Load, near: bool, requests: int = 600, seed: int = 1) -> Measured:
-    """Run one load.
+def measure(*, load: Load, near: bool, requests: int = 600, seed: int = 1) -> RunResult:
+    """Measure one load.
 
     Args:
-        load: What the callers send.
+        load: The load from the callers of each region.
         near: Whether near backend servers are preferred.
-        requests: How many requests a region with a load of 1 sends.
-        seed: Of arrivals and service times.
+        requests: The number of requests from a region with a load of 1.
+        seed: The seed of arrivals and service times.
     """
-    config = small_config(servers=SERVERS_A_REGION, latency_ms=1000 * BETWEEN_REGIONS_S)
+    config = small_config(servers=SERVERS_PER_REGION, latency_ms=1000 * ONE_WAY_BETWEEN_REGIONS_S)
     run = _Run(config=config, near=near, seed=seed)
     return trio.run(run.measure, load, requests, clock=MockClock(autojump_threshold=0.0))
 
 
-_last: dict[str, dict[str, Measured]] = {}
+_last_results: dict[str, dict[str, RunResult]] = {}
 
 
 def run(short: bool) -> list[str]:
-    """Measure all loads and check the bounds."""
-    lines = ["load  choice  p50 ms  p99 ms  refused  left region"]
+    """Measure all loads, the short run only the first.
+
+    Raises:
+        AssertionError: Preferring near backend servers improves latency or locality too little.
+    """
+    lines = ["load  choice  p50 ms  p99 ms  refused  left region (fraction)"]
     for load in LOADS[:1] if short else LOADS:
-        found = {
+        results = {
             name: measure(load=load, near=near, requests=300 if short else 600)
             for name, near in (("alike", False), ("near", True))
         }
-        _last[load.name] = found
-        assert found["near"].left_region_part < 0.6 * found["alike"].left_region_part, f"{found}"
-        assert found["near"].median_ms < found["alike"].median_ms, f"{found}"
+        _last_results[load.name] = results
+        assert (
+            results["near"].left_region_fraction < 0.6 * results["alike"].left_region_fraction
+        ), f"{results}"
+        assert results["near"].median_ms < results["alike"].median_ms, f"{results}"
         lines += [
-            f"{load.name:5} {name:6} {one.median_ms:7.1f} {one.p99_ms:7.1f} {one.refused:8} "
-            f"{one.left_region_part:12.2f}"
-            for name, one in found.items()
+            f"{load.name:5} {name:6} {result.median_ms:7.1f} {result.p99_ms:7.1f} "
+            f"{result.refused:8} "
+            f"{result.left_region_fraction:12.2f}"
+            for name, result in results.items()
         ]
     return lines
 
 
 def figures() -> Mapping[str, Mapping[str, float]]:
-    """For the plot."""
+    """Return the results of the last run, for the plot."""
     return {
-        f"p99 at load {load}, ms": {name: one.p99_ms for name, one in found.items()}
-        for load, found in _last.items()
+        f"p99 at load {load}, ms": {name: result.p99_ms for name, result in results.items()}
+        for load, results in _last_results.items()
     }
 
 
--- a/bench/member_group.py
+++ b/bench/member_group.py
@@ -1,4 +1,4 @@
-"""Several instances of ``bench.member_process`` on loopback, for the bench and for tests."""
+"""Runs several instances of ``bench.member_process`` on loopback, for the bench and for tests."""
 
 import json
 import random
@@ -9,18 +9,18 @@
 from collections.abc import Callable
 from typing import Any
 
-LIMIT_S = 60.0
-POLL_S = 0.1
+WAIT_TIMEOUT_S = 60.0
+POLL_INTERVAL_S = 0.1
 
 Reports = dict[str, dict[str, Any]]
 
 
 class ProcessGroup:
-    """Instances as processes of their own, ended on exit.
+    """Runs instances as separate processes, which are killed on exit.
 
     Args:
-        count: How many.
-        settings: Those of the membership that are not the default.
+        count: The number of instances.
+        settings: The settings of the membership that differ from the defaults.
     """
 
     def __init__(self, *, count: int, settings: dict[str, Any]) -> None:
@@ -43,7 +43,7 @@
         return list(self._processes)
 
     def start(self, number: int) -> str:
-        """Start an instance, or a replacement of a killed one; return its address."""
+        """Start an instance, or the replacement of a killed instance; return its address."""
         address = f"{self._prefix}.{number}"
         self._processes[address] = subprocess.Popen(
             [sys.executable, "-m", "bench.member_process", self._prefix, str(number)]
@@ -55,29 +55,33 @@
         return address
 
     def kill(self, address: str) -> None:
-        """End an instance without a word."""
+        """Kill an instance, without notice to the others."""
         process = self._processes.pop(address)
         process.kill()
         process.communicate()
 
     def freeze(self, address: str) -> None:
-        """Stop an instance in its tracks."""
+        """Suspend an instance."""
         self._processes[address].send_signal(signal.SIGSTOP)
 
     def thaw(self, address: str) -> None:
-        """Let it go on."""
+        """Resume a suspended instance."""
         self._processes[address].send_signal(signal.SIGCONT)
 
     def command(self, address: str, line: str) -> None:
-        """Give an instance one command."""
+        """Send an instance one command line."""
         stdin = self._processes[address].stdin
         assert stdin is not None
         stdin.write(line + "\n")
         stdin.flush()
 
-    def reports(self, *, but: str | None = None) -> Reports:
-        """Return the reports of all instances, but of a frozen one."""
-        processes = {one: process for one, process in self._processes.items() if one != but}
+    def reports(self, *, except_address: str | None = None) -> Reports:
+        """Return the reports of all instances by address, except of ``except_address``."""
+        processes = {
+            address: process
+            for address, process in self._processes.items()
+            if address != except_address
+        }
         for address in processes:
             self.command(address, "report")
         reports = {}
@@ -86,22 +90,38 @@
             reports[address] = json.loads(process.stdout.readline())
         return reports
 
-    def until(self, condition: Callable[[Reports], bool], *, but: str | None = None) -> Reports:
-        """Wait until a condition holds for the reports; return them."""
-        ends_at = time.monotonic() + LIMIT_S
+    def wait_until(
+        self, condition: Callable[[Reports], bool], *, except_address: str | None = None
+    ) -> Reports:
+        """Wait until a condition holds for the reports; return these.
+
+        Raises:
+            AssertionError: The condition does not hold within `WAIT_TIMEOUT_S`.
+        """
+        ends_at = time.monotonic() + WAIT_TIMEOUT_S
         while time.monotonic() < ends_at:
-            reports = self.reports(but=but)
+            reports = self.reports(except_address=except_address)
             if condition(reports):
                 return reports
-            time.sleep(POLL_S)
-        raise AssertionError(f"not so after {LIMIT_S} s with {len(self._processes)} instances")
+            time.sleep(POLL_INTERVAL_S)
+        raise AssertionError(
+            f"condition not met after {WAIT_TIMEOUT_S} s with {len(self._processes)} instances"
+        )
 
-    def until_seen(self, key: str) -> float:
-        """Wait until all instances saw something; return when the last one did."""
-        reports = self.until(lambda now: all(key in one["seen"] for one in now.values()))
-        return max(float(one["seen"][key]) for one in reports.values())
+    def wait_until_seen(self, key: str) -> float:
+        """Wait until all instances have observed an event.
 
-    def until_all_live(self) -> Reports:
-        """Wait until all see all."""
+        Returns:
+            The monotonic time, in seconds, at which the last instance observed it.
+        """
+        reports = self.wait_until(
+            lambda now: all(key in address["seen"] for address in now.values())
+        )
+        return max(float(address["seen"][key]) for address in reports.values())
+
+    def wait_until_all_live(self) -> Reports:
+        """Wait until every instance considers every instance live; return the reports."""
         live = dict.fromkeys(self.addresses, "live")
-        return self.until(lambda now: all(one["states"] == live for one in now.values()))
+        return self.wait_until(
+            lambda now: all(address["states"] == live for address in now.values())
+        )
--- a/bench/member_process.py
+++ b/bench/member_process.py
@@ -1,6 +1,6 @@
-"""One instance of the membership bench: links, membership and configuration, nothing else.
+"""Runs one instance of the membership bench: only links, membership and configuration.
 
-Takes one command a line on standard input and answers `report` by one line of JSON.
+Reads one command per line from standard input; answers `report` with one line of JSON.
 """
 
 import json
@@ -25,7 +25,7 @@
 
 
 class BenchInstance:
-    """The parts of an instance, and when it saw what."""
+    """An instance without requests, which records when it observed each event."""
 
     def __init__(self, *, prefix: str, number: int, settings: MembershipSettings) -> None:
         clock = SystemClock()
@@ -56,12 +56,12 @@
         )
         self.spread = ConfigSpread(peers=self.peers, membership=self.membership, random=random)
         self.spread.on_snapshot(self._enforce)
-        self.membership.on_change(self._note)
+        self.membership.on_change(self._record_states)
         self.seen: dict[str, float] = {}
         self.membership.publish(state="live")
 
     def offer(self, version: int) -> None:
-        """Act as if the platform had delivered a version."""
+        """Offer a version of the configuration, as if the platform had delivered it."""
         objects = {
             f"workspace/{index}": {"template": "stays", "version": version if index < 3 else 0}
             for index in range(200)
@@ -71,7 +71,7 @@
             self._enforce(snapshot)
 
     def report(self) -> dict[str, object]:
-        """Return what it cost so far, and what was seen when."""
+        """Return the resources used so far, and the times at which events were observed."""
         counts = self.peers.counts
         snapshot = self.spread.current()
         return {
@@ -85,7 +85,9 @@
             "rss_kb": _rss_kb(),
             "states": {member.address: member.state for member in self.membership.members()},
             "seen": self.seen,
-            "incarnations": {one.address: one.incarnation for one in self.membership.members()},
+            "incarnations": {
+                member.address: member.incarnation for member in self.membership.members()
+            },
             "version": snapshot.change.version if snapshot is not None else 0,
         }
 
@@ -93,7 +95,7 @@
         self.seen.setdefault(f"has {snapshot.change.version}", time.monotonic())
         self.membership.publish(config_version=snapshot.change.version)
 
-    def _note(self) -> None:
+    def _record_states(self) -> None:
         now = time.monotonic()
         members = self.membership.members()
         for member in members:
@@ -107,11 +109,11 @@
         return next(int(line.split()[1]) for line in status if line.startswith("VmRSS"))
 
 
-async def _obey(instance: BenchInstance, scope: trio.CancelScope) -> None:
+async def _serve_commands(instance: BenchInstance, scope: trio.CancelScope) -> None:
     commands = trio.lowlevel.FdStream(os.dup(sys.stdin.fileno()))
-    rest = b""
+    buffer = b""
     async for chunk in commands:
-        *lines, rest = (rest + chunk).split(b"\n")
+        *lines, buffer = (buffer + chunk).split(b"\n")
         for line in lines:
             match line.decode().split():
                 case ["report"]:
@@ -122,7 +124,7 @@
                     instance.membership.leave()
                 case ["load", load]:
                     instance.membership.publish(load=float(load))
-    # The bench is gone: so is its load.
+    # The bench closed standard input: end this process too.
     scope.cancel()
 
 
@@ -138,7 +140,7 @@
         nursery.start_soon(instance.peers.run)
         nursery.start_soon(instance.membership.run)
         nursery.start_soon(instance.spread.run)
-        nursery.start_soon(_obey, instance, nursery.cancel_scope)
+        nursery.start_soon(_serve_commands, instance, nursery.cancel_scope)
 
 
 if __name__ == "__main__":
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,11 +1,11 @@
-"""What the choice of backend servers is worth, on a model of the two deployments of today.
+"""Measures the choice of backend servers on models of several deployments.
 
     python -m bench.placement
     python -m bench.placement --seconds 30 --set cached_fraction.TARGET_UTILISATION=0.5 \
         --plot out.png
 
-``--set`` replaces constants of ``wagtailpoint.placement`` for one run, to try an idea before it is
-played on the users' bench. Two seeds differ by about 0.01 of worth.
+``--set`` replaces constants of ``wagtailpoint.placement`` for one run, to try a value quickly. The
+worth varies by about 0.01 between seeds.
 """
 
 import importlib
@@ -18,7 +18,7 @@
 import click
 
 from bench.system_model import (
-    MOST_SHIFT,
+    MAX_SHIFT_FRACTION,
     Deployment,
     Fault,
     Outcome,
@@ -32,9 +32,9 @@
 
 SHORT_S = 8.0
 FULL_S = 24.0
-LEAST_WORTH = 0.85
-LEAST_DOMAIN = 0.75
-"""Bounds against a fall; over 12 s with two seeds 0.935 and 0.915 or more were measured."""
+MIN_WORTH = 0.85
+MIN_DOMAIN_WORTH = 0.75
+"""Lower bounds of a deployment's worth and of its worst failure domain, against regressions."""
 
 SURAKKHA = Deployment(
     region_of={
@@ -71,7 +71,7 @@
             "city-centre": 3,
         },
     },
-    cache={"deposit-desk": 43, "records-vault": 50},
+    cache_size={"deposit-desk": 43, "records-vault": 50},
     slots={"deposit-desk": 3, "records-vault": 3},
     in_region_s=0.0018,
     between_regions_s=0.11,
@@ -99,7 +99,7 @@
         "stay-desk": {"inv-a": 5, "inv-b": 5, "edi-a": 6, "edi-b": 6, "sty-a": 1, "sty-b": 1},
         "visitor-hub": {"inv-a": 2, "inv-b": 2, "edi-a": 3, "edi-b": 3, "sty-a": 1, "sty-b": 1},
     },
-    cache={"stay-desk": 44, "visitor-hub": 50},
+    cache_size={"stay-desk": 44, "visitor-hub": 50},
     slots={"stay-desk": 3, "visitor-hub": 3},
     in_region_s=0.001,
     between_regions_s=0.04,
@@ -129,7 +129,7 @@
         "deliveries": _by_domain(1, 1, 2, 2, 3, 3),
         "dosage": _by_domain(1, 1, 2, 2, 3, 3),
     },
-    cache={"catalogue": 73, "plans": 38, "deliveries": 28, "dosage": 25},
+    cache_size={"catalogue": 73, "plans": 38, "deliveries": 28, "dosage": 25},
     slots={"catalogue": 4, "plans": 3, "deliveries": 4, "dosage": 3},
     in_region_s=0.001,
     between_regions_s=0.07,
@@ -142,12 +142,11 @@
         RequestClass("dosage", "dosage", 9.0, 0.096, 0.15, 0.5, 2.0, 24, 1500, 1),
     ),
     swing=0.55,
-    own_keys=True,
+    keys_per_region=True,
 )
 VITAMINS_LOADED = VITAMINS._replace(load=2.3)
 VITAMINS_OVERLOADED = VITAMINS._replace(load=3.2)
-"""Places, backend servers and work as the users' pages have them; the load of a calm day, and what
-the newest of them has to bear on a day of high load."""
+"""A deployment with four services: at the load of a calm day, and at two higher loads."""
 
 _LARGE_DOMAINS = (
     *("salt-lake", "new-town", "garia"),
@@ -158,7 +157,7 @@
 
 
 def _by_region(*counts: int) -> dict[str, int]:
-    """So many in each of the three failure domains of each region."""
+    """Return counts by failure domain, given the count in each failure domain of a region."""
     return {domain: counts[number // 3] for number, domain in enumerate(_LARGE_DOMAINS)}
 
 
@@ -166,7 +165,7 @@
     region_of={domain: _LARGE_REGIONS[n // 3] for n, domain in enumerate(_LARGE_DOMAINS)},
     instances=_by_region(3, 3, 3),
     servers={"deposit-desk": _by_region(12, 49, 58), "records-vault": _by_region(2, 6, 8)},
-    cache={"deposit-desk": 11, "records-vault": 23},
+    cache_size={"deposit-desk": 11, "records-vault": 23},
     slots={"deposit-desk": 3, "records-vault": 3},
     in_region_s=0.0028,
     between_regions_s=0.11,
@@ -179,11 +178,11 @@
         RequestClass("lookup", "records-vault", 19.0, 0.475, 0.4, 2.0, 2.0, 79, 1500, 1),
     ),
     swing=0.55,
-    own_keys=True,
+    keys_per_region=True,
 )
 LARGE_SPREAD = LARGE._replace(instances=_by_region(25, 20, 21))
-"""Hundreds of backend servers that remember few objects each: behind three entries in each failure
-domain, and behind all instances."""
+"""Hundreds of backend servers with small caches: behind three entries in each failure domain, and
+behind all instances."""
 
 SHIFTED = SURAKKHA._replace(
     instances=dict.fromkeys(SURAKKHA.region_of, 3),
@@ -205,7 +204,7 @@
             "city-centre": 6,
         },
     },
-    cache={"deposit-desk": 14, "records-vault": 37},
+    cache_size={"deposit-desk": 14, "records-vault": 37},
     slots={"deposit-desk": 6, "records-vault": 6},
     classes=(
         RequestClass("balance", "deposit-desk", 50.0, 1.4, 1.112, 3.0, 1.0, 149, 5000, 2),
@@ -216,8 +215,8 @@
     swing=0.55,
 )
 SHIFTED_LOADED = SHIFTED._replace(load=1.8)
-"""Long requests, which are in time only where their objects are cached; the load of a calm day, and
-of one of high load."""
+"""Long requests, which meet their objective only where their objects are cached: at the load of a
+calm day, and at a high load."""
 
 DEPLOYMENTS: Mapping[str, Deployment] = {
     "surakkha": SURAKKHA,
@@ -233,29 +232,30 @@
     "shifted": SHIFTED,
     "shifted-loaded": SHIFTED_LOADED,
 }
-"""In these most objects are asked for once in some seconds: they are still met for the first time
-when those of the others have been cached, so the bounds of a short run say nothing of them."""
+"""Deployments in which most objects are requested only once in several seconds. In a short run
+their caches are still filling, so the bounds of the short run do not apply to them."""
 
 ALL_DEPLOYMENTS: Mapping[str, Deployment] = {**DEPLOYMENTS, **WARMING_DEPLOYMENTS}
 
 FAULTS = (Fault(10.0, 4.0, "gal-b"), Fault(18.0))
-"""A failure domain loses its backend servers, and gets them back empty; all instances restart."""
+"""A failure domain loses its backend servers, which return with empty caches; later all instances
+restart."""
 
-_last: dict[str, Sequence[Outcome]] = {}
+_last_outcomes: dict[str, Sequence[Outcome]] = {}
 
 
-def play(
+def simulate(
     name: str, *, seconds: float, seed: int = 1, faults: Sequence[Fault] = ()
 ) -> Sequence[Outcome]:
-    """Play one deployment and remember what came of it, for the plot."""
+    """Simulate one deployment, and keep the outcomes for the plot."""
     model = SystemModel(deployment=ALL_DEPLOYMENTS[name], seed=seed, faults=faults)
-    outcomes = model.play(seconds)
-    _last[name] = outcomes
+    outcomes = model.simulate(seconds)
+    _last_outcomes[name] = outcomes
     return outcomes
 
 
 def describe(name: str, outcomes: Sequence[Outcome]) -> list[str]:
-    """The lines of a table."""
+    """Return the table lines of one deployment."""
     domains = worth_by(outcomes, "domain")
     worst = min(domains, key=lambda domain: domains[domain])
     shift = largest_shift(outcomes, ALL_DEPLOYMENTS[name].region_of)
@@ -274,35 +274,47 @@
 
 
 def run(short: bool) -> list[str]:
-    """Play both deployments and check the bounds."""
+    """Simulate the deployments that have bounds.
+
+    Raises:
+        AssertionError: A worth is too low, or too many requests changed regions.
+    """
     lines = []
     for name, deployment in DEPLOYMENTS.items():
-        outcomes = play(name, seconds=SHORT_S if short else FULL_S)
+        outcomes = simulate(name, seconds=SHORT_S if short else FULL_S)
         lines += describe(name, outcomes)
-        warm = [each for each in outcomes if each.began >= SHORT_S / 2]
-        least = min(worth_by(warm, "domain").values())
-        assert worth(warm) >= LEAST_WORTH, f"{name}: worth {worth(warm):.3f}"
-        assert least >= LEAST_DOMAIN, f"{name}: worst failure domain {least:.3f}"
-        shift = largest_shift(warm, deployment.region_of)
-        assert shift <= 2 * MOST_SHIFT, f"{name}: {shift:.2f} of a region's requests moved"
+        warm_outcomes = [each for each in outcomes if each.began >= SHORT_S / 2]
+        min_domain_worth = min(worth_by(warm_outcomes, "domain").values())
+        assert worth(warm_outcomes) >= MIN_WORTH, f"{name}: worth {worth(warm_outcomes):.3f}"
+        assert (
+            min_domain_worth >= MIN_DOMAIN_WORTH
+        ), f"{name}: worst failure domain {min_domain_worth:.3f}"
+        shift = largest_shift(warm_outcomes, deployment.region_of)
+        assert (
+            shift <= 2 * MAX_SHIFT_FRACTION
+        ), f"{name}: {shift:.2f} of a region's requests changed regions"
     return lines
 
 
 def figures() -> Mapping[str, Mapping[str, float]]:
-    """For the plot: worth by failure domain, by class and by second."""
+    """Return the worth by failure domain, class and second of the last runs, for the plot."""
     return {
         f"{name}: worth by {title}": worth_by(outcomes, field)
-        for name, outcomes in _last.items()
+        for name, outcomes in _last_outcomes.items()
         for title, field in (("domain", "domain"), ("class", "name"), ("second", "began"))
     }
 
 
 @click.command()
-@click.option("--seconds", default=FULL_S, help="How long to play, in seconds of the model.")
-@click.option("--seed", default=1, help="Of arrivals and service times.")
+@click.option("--seconds", default=FULL_S, help="Simulated time in seconds.")
+@click.option("--seed", default=1, help="Seed of arrivals and service times.")
 @click.option("--set", "changes", multiple=True, help="MODULE.CONSTANT=NUMBER of placement/.")
-@click.option("--only", multiple=True, help="A deployment; may be repeated.")
-@click.option("--faults", is_flag=True, help="Lose a failure domain, and all instances.")
+@click.option("--only", multiple=True, help="A deployment to simulate; may be repeated.")
+@click.option(
+    "--faults",
+    is_flag=True,
+    help="Simulate the loss of a failure domain, then a restart of all instances.",
+)
 @click.option("--plot", type=click.Path(path_type=Path), help="Write a PNG of the figures.")
 def main(
     *,
@@ -313,22 +325,24 @@
     faults: bool,
     plot: Path | None,
 ) -> None:
-    """Play both deployments, with some constants replaced."""
+    """Simulate deployments, optionally with replaced constants."""
     with ExitStack() as stack:
         for change in changes:
-            place, _, number = change.partition("=")
-            module_name, _, constant = place.rpartition(".")
+            constant_path, _, number = change.partition("=")
+            module_name, _, constant = constant_path.rpartition(".")
             module = importlib.import_module(f"wagtailpoint.placement.{module_name}")
             if not hasattr(module, constant):
-                raise click.BadParameter(f"given {place}, expected a constant of that module")
+                raise click.BadParameter(
+                    f"given {constant_path}, expected a constant of a module of placement/"
+                )
             stack.enter_context(patch.object(module, constant, float(number)))
         for name in only or ALL_DEPLOYMENTS:
-            outcomes = play(name, seconds=seconds, seed=seed, faults=FAULTS if faults else ())
+            outcomes = simulate(name, seconds=seconds, seed=seed, faults=FAULTS if faults else ())
             click.echo("\n".join(describe(name, outcomes)))
     if plot is not None:
-        from bench.run import draw
+        from bench.run import write_plot
 
-        draw(figures(), plot)
+        write_plot(figures(), plot)
 
 
 if __name__ == "__main__":
--- a/bench/run.py
+++ b/bench/run.py
@@ -1,8 +1,8 @@
-"""The bench: `python -m bench.run short|full`. Each module in this folder measures one thing.
+"""Runs the benches: `python -m bench.run short|full`. Each bench is a module of this folder.
 
-A module has ``run(short: bool) -> list[str]``, which returns the lines of its table and raises
-``AssertionError`` when one of its bounds is broken. It may also have ``figures()``, which returns
-what its last run measured as ``{panel: {label: value}}``; the full bench draws that.
+A bench module has ``run(short: bool) -> list[str]``, which returns the lines of its table and
+raises ``AssertionError`` when one of its bounds is exceeded. It may also have ``figures()``, which
+returns the results of its last run as ``{panel: {label: value}}`` for the plot of the full bench.
 """
 
 import importlib
@@ -34,15 +34,15 @@
 Figures = Mapping[str, Mapping[str, float]]
 
 
-class Measured(NamedTuple):
-    """What became of one module.
+class ModuleResult(NamedTuple):
+    """The result of one bench module.
 
     Attributes:
-        name: The module.
-        lines: Its table.
-        figures: What it measured, for the plot.
-        took_s: How long it ran, in seconds.
-        broken: The bound that it broke, None if all held.
+        name: The name of the module, without its package.
+        lines: The lines of its table.
+        figures: The measured values, for the plot.
+        took_s: The duration of the run in seconds.
+        broken: The message of the exceeded bound; None if all bounds held.
     """
 
     name: str
@@ -53,7 +53,7 @@
 
 
 def find_modules(names: Sequence[str] = MODULES) -> list[ModuleType]:
-    """The modules of the bench that exist and can be run."""
+    """Return the named bench modules that exist and have a ``run`` function."""
     found = [
         importlib.import_module(f"bench.{name}")
         for name in names
@@ -62,9 +62,9 @@
     return [module for module in found if hasattr(module, "run")]
 
 
-def measure(module: ModuleType, *, short: bool) -> Measured:
-    """Run one module; a broken bound is reported, not raised, so that the others run too."""
-    began = time.monotonic()
+def measure(module: ModuleType, *, short: bool) -> ModuleResult:
+    """Run one module; return an exceeded bound in the result, so that other modules still run."""
+    started_at = time.monotonic()
     lines: list[str] = []
     broken = None
     try:
@@ -73,21 +73,21 @@
         broken = str(error) or repr(error)
     figures = module.figures() if hasattr(module, "figures") else {}
     name = module.__name__.rpartition(".")[2]
-    return Measured(name, lines, figures, time.monotonic() - began, broken)
+    return ModuleResult(name, lines, figures, time.monotonic() - started_at, broken)
 
 
-def write_results(measured: Measured, directory: Path) -> None:
-    """Write what one module measured: its table and figures as JSON, and a plot if it has any."""
+def write_results(result: ModuleResult, directory: Path) -> None:
+    """Write the table and figures of one module as JSON, and a plot if it has figures."""
     directory.mkdir(exist_ok=True)
-    text = json.dumps(measured._asdict(), indent=2)
-    (directory / f"{measured.name}.json").write_text(text + "\n")
-    if measured.figures:
-        draw(measured.figures, directory / f"{measured.name}.png")
+    text = json.dumps(result._asdict(), indent=2)
+    (directory / f"{result.name}.json").write_text(text + "\n")
+    if result.figures:
+        write_plot(result.figures, directory / f"{result.name}.png")
 
 
-def draw(panels: Figures, path: Path) -> None:
-    """Write a plot with a panel of bars for each group of figures."""
-    # Imported late: it takes a second, which the short bench need not spend.
+def write_plot(panels: Figures, path: Path) -> None:
+    """Write a PNG plot with one panel of bars for each group of figures."""
+    # The import takes a second, so the short bench, which draws nothing, avoids it.
     from matplotlib.figure import Figure
 
     figure = Figure(figsize=(5.0 * len(panels), 4.0), layout="constrained")
@@ -100,25 +100,28 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run every module.
+    """Run every bench module.
 
     Returns:
-        1 if a bound is broken, else 0.
+        The exit code: 0, 1 if a bound is exceeded, or 2 for a wrong argument.
     """
     if list(arguments) not in (["short"], ["full"]):
-        print(f"given {' '.join(arguments)!r}, expected short or full", file=sys.stderr)
+        print(
+            f"invalid arguments: given {' '.join(arguments)!r}, expected short or full",
+            file=sys.stderr,
+        )
         return 2
     short = list(arguments) == ["short"]
     exit_code = 0
     for module in find_modules():
-        measured = measure(module, short=short)
-        print(f"--- bench {measured.name} ({measured.took_s:.1f} s)")
-        print("\n".join(measured.lines))
-        if measured.broken is not None:
-            print(f"BROKEN BOUND in bench {measured.name}: {measured.broken}")
+        result = measure(module, short=short)
+        print(f"--- bench {result.name} ({result.took_s:.1f} s)")
+        print("\n".join(result.lines))
+        if result.broken is not None:
+            print(f"BROKEN BOUND in bench {result.name}: {result.broken}")
             exit_code = 1
         if not short:
-            write_results(measured, RESULTS)
+            write_results(result, RESULTS)
     return exit_code
 
 
--- a/src/wagtailpoint/adapters/peer_dispatch.py
+++ b/src/wagtailpoint/adapters/peer_dispatch.py
@@ -1,4 +1,4 @@
-"""Requests, replies and handlers over links that only carry one-way messages."""
+"""Requests, replies and handlers on top of links that carry one-way messages."""
 
 from itertools import count
 from typing import Any
@@ -21,8 +21,8 @@
 )
 
 
-class _Waiting:
-    """A request whose reply is awaited."""
+class _PendingRequest:
+    """A request that waits for its reply."""
 
     def __init__(self) -> None:
         self.arrived = trio.Event()
@@ -30,11 +30,11 @@
 
 
 class DispatchingPeers:
-    """What all links have in common; a subclass moves the bytes.
+    """Dispatches messages between peers; subclasses implement the transport.
 
     Args:
-        address: Where this instance hears its peers, with its incarnation.
-        clock: Stamps what is sent.
+        address: The address and incarnation at which this instance receives messages.
+        clock: Stamps the sent messages.
     """
 
     def __init__(self, *, address: PeerAddress, clock: HybridClock) -> None:
@@ -42,29 +42,29 @@
         self._clock = clock
         self._meter = Meter()
         self._handlers: dict[type[Message], Handler] = {}
-        self._waiting: dict[int, _Waiting] = {}
+        self._pending: dict[int, _PendingRequest] = {}
         self._numbers = count(1)
 
     @property
     def address(self) -> PeerAddress:
-        """Where this instance hears its peers, with its incarnation."""
+        """The address and incarnation at which this instance receives messages."""
         return self._address
 
     @property
     def counts(self) -> PeerCounts:
-        """What went over the links since the start."""
+        """The counts of messages since the start."""
         return self._meter.counts
 
     def handle(self, message_type: type[Message], handler: Handler) -> None:
-        """Call ``handler`` for every message of a type."""
+        """Register the handler of a message type."""
         self._handlers[message_type] = handler
 
     def send(self, to: PeerAddress, message: Message) -> bool:
-        """Send a message and return at once; False if it was dropped here."""
+        """Send a message without waiting; return False if it was dropped by this instance."""
         return self._send(to, message, number=0, reply_to=0)
 
     def reply(self, received: Received, message: Message) -> bool:
-        """Answer a request, later than its handler's return."""
+        """Answer a request after its handler has returned."""
         return self._send(received.sender, message, number=0, reply_to=received.number)
 
     async def request(
@@ -72,19 +72,19 @@
     ) -> Result[Any, PeerFailure]:
         """Send a message and wait for its reply."""
         number = next(self._numbers)
-        waiting = _Waiting()
-        self._waiting[number] = waiting
+        pending = _PendingRequest()
+        self._pending[number] = pending
         try:
             if not self._send(to, message, number=number, reply_to=0):
                 return Err(PeerFailure.NOT_SENT)
             with trio.move_on_after(timeout_s):
-                await waiting.arrived.wait()
-                self._answered(to)
-                return Ok(waiting.reply)
-            self._unanswered(to)
+                await pending.arrived.wait()
+                self._record_answer(to)
+                return Ok(pending.reply)
+            self._record_timeout(to)
             return Err(PeerFailure.TIMEOUT)
         finally:
-            del self._waiting[number]
+            del self._pending[number]
 
     async def run(self) -> None:
         """Receive until cancelled."""
@@ -93,11 +93,11 @@
     def _transmit(self, to: PeerAddress, data: bytes) -> bool:
         raise NotImplementedError
 
-    def _answered(self, to: PeerAddress) -> None:
-        """Take note that a request was answered."""
+    def _record_answer(self, to: PeerAddress) -> None:
+        """Record that a peer answered a request."""
 
-    def _unanswered(self, to: PeerAddress) -> None:
-        """Take note that a request was not answered in time."""
+    def _record_timeout(self, to: PeerAddress) -> None:
+        """Record that a peer did not answer a request within its timeout."""
 
     def _send(self, to: PeerAddress, message: Message, *, number: int, reply_to: int) -> bool:
         data = encode(
@@ -109,12 +109,12 @@
             reply_to=reply_to,
         )
         if len(data) > MAX_MESSAGE_BYTES:
-            self._meter.dropped("too-large")
+            self._meter.record_dropped("too-large")
             return False
         if not self._transmit(to, data):
-            self._meter.dropped("link-full")
+            self._meter.record_dropped("link-full")
             return False
-        self._meter.sent(get_message_kind(type(message)), len(data))
+        self._meter.record_sent(get_message_kind(type(message)), len(data))
         return True
 
     def _receive(self, data: bytes) -> None:
@@ -130,24 +130,24 @@
         self._call_handler(Received(sender, envelope.stamp, envelope.number, message))
 
     def _deliver_reply(self, number: int, message: Message) -> None:
-        waiting = self._waiting.get(number)
-        if waiting is None:
-            self._meter.dropped("late-reply")
+        pending = self._pending.get(number)
+        if pending is None:
+            self._meter.record_dropped("late-reply")
             return
-        waiting.reply = message
-        waiting.arrived.set()
+        pending.reply = message
+        pending.arrived.set()
 
     def _call_handler(self, received: Received) -> None:
         handler = self._handlers.get(type(received.message))
         if handler is None:
-            self._meter.dropped("no-handler")
+            self._meter.record_dropped("no-handler")
             return
-        # One message that a handler cannot digest must not end the task that receives all others:
-        # the instance would look dead to its peers while it serves callers.
+        # An error in a handler must not end the receiving task: the instance would look dead to
+        # its peers while it serves callers.
         try:
             answer = handler(received)
         except Exception as error:
-            self._meter.dropped("handler-failed")
+            self._meter.record_dropped("handler-failed")
             log_event(
                 "peer-handler-failed",
                 level="ERROR",
--- a/src/wagtailpoint/daemon/entry_pages.py
+++ b/src/wagtailpoint/daemon/entry_pages.py
@@ -9,7 +9,12 @@
 from wagtailpoint.observe.log import log_event
 from wagtailpoint.observe.metrics import Metrics
 from wagtailpoint.observe.prometheus import CONTENT_TYPE
-from wagtailpoint.platform.pages import LookupQuestion, encode_lookup, is_readiness, parse_lookup
+from wagtailpoint.platform.pages import (
+    CallerLocation,
+    encode_lookup,
+    is_readiness_check,
+    parse_lookup,
+)
 from wagtailpoint.ports.peers import Peers
 from wagtailpoint.proxy.caller_exchange import CallerExchange, IncomingRequest
 
@@ -56,7 +61,7 @@
 
     async def handle(self, request: IncomingRequest, caller: CallerExchange) -> None:
         """Answer a readiness check or a lookup."""
-        if is_readiness(request.target):
+        if is_readiness_check(request.target):
             ready = self._is_ready()
             await caller.reply(HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE, (), b"")
             return
@@ -78,7 +83,7 @@
         headers = ((b"content-type", CONTENT_TYPE),)
         await caller.reply(HTTPStatus.OK, headers, metrics_text(snapshot))
 
-    def entries_for(self, question: LookupQuestion) -> list[Endpoint]:
+    def entries_for(self, question: CallerLocation) -> list[Endpoint]:
         """Return the nearest entries for a caller, at most ``MAX_ADDRESSES``."""
         nearest = self._entries.nearest(question.failure_domain, question.region)
         return [Endpoint(entry.address, entry.port) for entry in nearest[:MAX_ADDRESSES]]
--- a/src/wagtailpoint/platform/pages.py
+++ b/src/wagtailpoint/platform/pages.py
@@ -1,4 +1,4 @@
-"""The calls that the platform and its callers make besides requests: readiness and lookups."""
+"""Calls of the platform and of callers other than requests: readiness checks and lookups."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -12,8 +12,8 @@
 RESOLVE_PATH = "/api/resolve"
 
 
-class LookupQuestion(NamedTuple):
-    """Who asks where to connect.
+class CallerLocation(NamedTuple):
+    """The location of a caller that looks up entries.
 
     Attributes:
         region: The caller's region.
@@ -29,20 +29,20 @@
     TtlS: float
 
 
-def parse_lookup(target: str) -> LookupQuestion | None:
-    """Read a lookup; None if the target is none."""
+def parse_lookup(target: str) -> CallerLocation | None:
+    """Parse the target of a lookup; return None if it is no lookup."""
     parts = urlsplit(target)
     if parts.path != RESOLVE_PATH:
         return None
     query = parse_qs(parts.query)
-    return LookupQuestion(query.get("Region", [""])[0], query.get("Zone", [""])[0])
+    return CallerLocation(query.get("Region", [""])[0], query.get("Zone", [""])[0])
 
 
 def encode_lookup(entries: Sequence[Endpoint], ttl_s: float) -> bytes:
-    """Write the answer to a lookup."""
-    return msgspec.json.encode(_Resolved([str(each) for each in entries], ttl_s))
+    """Encode the answer to a lookup; the TTL is in seconds."""
+    return msgspec.json.encode(_Resolved([str(entry) for entry in entries], ttl_s))
 
 
-def is_readiness(target: str) -> bool:
-    """Whether the platform asks for readiness."""
+def is_readiness_check(target: str) -> bool:
+    """Return whether the target is the platform's readiness check."""
     return urlsplit(target).path == READY_PATH
--- a/tests/cover/test_peers.py
+++ b/tests/cover/test_peers.py
@@ -1,4 +1,4 @@
-"""Messages between instances: envelopes, drops, requests; in memory and over real sockets."""
+"""Messages between instances: envelopes, drops and requests, in memory and over sockets."""
 
 import unittest
 from random import Random
@@ -11,7 +11,7 @@
 from tests.common.fake_clock import FakeClock
 from tests.common.fake_peers import FakeNetwork, FakePeers
 from wagtailpoint.adapters.clock import SystemClock
-from wagtailpoint.adapters.peers_nng import DIALLING_S, UNANSWERED_BEFORE_REDIAL, NngPeers
+from wagtailpoint.adapters.peers_nng import MAX_UNANSWERED_REQUESTS, MIN_REDIAL_AGE_S, NngPeers
 from wagtailpoint.observe.hlc import HybridClock
 from wagtailpoint.ports.clock import Clock
 from wagtailpoint.ports.peers import (
@@ -46,89 +46,92 @@
 
 
 class MessagesInMemoryTest(unittest.TestCase):
-    def run_pair(self, story) -> None:
+    def run_pair(self, scenario) -> None:
         async def main() -> None:
             network = FakeNetwork()
-            one, other = (
+            first, second = (
                 FakePeers(network=network, address=PeerAddress(f"127.0.0.{n}", 7000, n))
                 for n in (1, 2)
             )
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(one.run)
-                nursery.start_soon(other.run)
+                nursery.start_soon(first.run)
+                nursery.start_soon(second.run)
                 await trio.testing.wait_all_tasks_blocked()
                 with trio.fail_after(30):
-                    await story(network, one, other)
+                    await scenario(network, first, second)
                 nursery.cancel_scope.cancel()
 
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
     def test_request_and_reply(self) -> None:
-        async def story(network: FakeNetwork, one: Peers, other: Peers) -> None:
-            other.handle(Question, answer)
-            reply = await one.request(other.address, Question("ja"), timeout_s=1)
+        async def scenario(network: FakeNetwork, first: Peers, second: Peers) -> None:
+            second.handle(Question, answer)
+            reply = await first.request(second.address, Question("ja"), timeout_s=1)
             self.assertEqual(reply, Ok(Answer("JA")))
-            self.assertEqual(one.counts.sent["test-question"].messages, 1)
-            self.assertEqual(other.counts.received["test-question"].messages, 1)
+            self.assertEqual(first.counts.sent["test-question"].messages, 1)
+            self.assertEqual(second.counts.received["test-question"].messages, 1)
 
-        self.run_pair(story)
+        self.run_pair(scenario)
 
     def test_cut_link_is_a_timeout(self) -> None:
-        async def story(network: FakeNetwork, one: Peers, other: Peers) -> None:
+        async def scenario(network: FakeNetwork, first: Peers, second: Peers) -> None:
             network.cut(["127.0.0.2"], ["127.0.0.1"])
-            other.handle(Question, answer)
-            reply = await one.request(other.address, Question("ja"), timeout_s=1)
+            second.handle(Question, answer)
+            reply = await first.request(second.address, Question("ja"), timeout_s=1)
             self.assertEqual(reply, Err(PeerFailure.TIMEOUT))
 
-        self.run_pair(story)
+        self.run_pair(scenario)
 
-    def test_message_for_the_former_process_is_dropped(self) -> None:
-        """A restarted instance acts on a message that was meant for the process before it.
+    def test_message_for_the_previous_process_is_dropped(self) -> None:
+        """Guards against a restarted instance that handles a message for the previous process.
 
-        Sequence: a message is buffered while its receiver is frozen; the receiver is replaced at
-        the same address; the link reconnects and delivers. Cause: an address alone does not name
-        a process.
+        A message is buffered while its receiver is frozen; the receiver is replaced at the same
+        address; the link reconnects and delivers the message. An address alone does not identify a
+        process.
         """
 
-        async def story(network: FakeNetwork, one: Peers, other: Peers) -> None:
-            other.handle(Question, answer)
-            former = other.address._replace(incarnation=77)
-            reply = await one.request(former, Question("ja"), timeout_s=1)
+        async def scenario(network: FakeNetwork, first: Peers, second: Peers) -> None:
+            second.handle(Question, answer)
+            previous = second.address._replace(incarnation=77)
+            reply = await first.request(previous, Question("ja"), timeout_s=1)
             self.assertEqual(reply, Err(PeerFailure.TIMEOUT))
-            self.assertEqual(other.counts.dropped, {"other-incarnation": 1})
+            self.assertEqual(second.counts.dropped, {"other-incarnation": 1})
 
-        self.run_pair(story)
+        self.run_pair(scenario)
 
-    def test_what_cannot_be_understood_is_counted_and_ignored(self) -> None:
-        """An instance of another version, or a stray program, ends the receiving task.
+    def test_invalid_messages_are_counted_and_ignored(self) -> None:
+        """Guards against invalid messages that end the receiving task.
 
-        Sequence: bytes that are no envelope, a kind without a handler and a handler that fails
-        arrive, then a good message. Cause: an error that leaves the receiving loop.
+        Instances of another version and unrelated programs may send bytes that are no envelope, a
+        kind without a handler, or a message on which the handler fails. An error that leaves the
+        receiving loop would stop the valid messages after it.
         """
 
         def fail(received: Received) -> None:
-            raise RuntimeError("a fault of a handler")
+            raise RuntimeError("handler failed")
 
-        async def story(network: FakeNetwork, one: Peers, other: Peers) -> None:
-            other.handle(Question, answer)
-            other.handle(Answer, fail)
+        async def scenario(network: FakeNetwork, first: Peers, second: Peers) -> None:
+            second.handle(Question, answer)
+            second.handle(Answer, fail)
             for data in (b"", b"\xc1\xff", b"GET / HTTP/1.1\r\n\r\n", b"\x99" + b"\xff" * 20):
-                network.carry("127.0.0.1", other.address, data)
-            one.send(other.address, Unheard(1))
-            one.send(other.address, Answer("x"))
-            self.assertTrue((await one.request(other.address, Question("a"), timeout_s=1)).is_ok())
+                network.carry("127.0.0.1", second.address, data)
+            first.send(second.address, Unheard(1))
+            first.send(second.address, Answer("x"))
+            self.assertTrue(
+                (await first.request(second.address, Question("a"), timeout_s=1)).is_ok()
+            )
             self.assertEqual(
-                other.counts.dropped, {"undecodable": 4, "no-handler": 1, "handler-failed": 1}
+                second.counts.dropped, {"undecodable": 4, "no-handler": 1, "handler-failed": 1}
             )
 
-        self.run_pair(story)
+        self.run_pair(scenario)
 
-    def test_oversized_message_is_refused_here(self) -> None:
-        async def story(network: FakeNetwork, one: Peers, other: Peers) -> None:
-            self.assertFalse(one.send(other.address, Question("x" * MAX_MESSAGE_BYTES)))
-            self.assertEqual(one.counts.dropped, {"too-large": 1})
+    def test_oversized_message_is_refused_by_the_sender(self) -> None:
+        async def scenario(network: FakeNetwork, first: Peers, second: Peers) -> None:
+            self.assertFalse(first.send(second.address, Question("x" * MAX_MESSAGE_BYTES)))
+            self.assertEqual(first.counts.dropped, {"too-large": 1})
 
-        self.run_pair(story)
+        self.run_pair(scenario)
 
     def test_one_kind_for_each_type(self) -> None:
         with self.assertRaisesRegex(ValueError, "expected one message type"):
@@ -152,52 +155,54 @@
 
     def test_request_reaches_a_peer_that_starts_later(self) -> None:
         async def main() -> None:
-            one, other = self.make(1), self.make(2)
-            other.handle(Question, answer)
+            first, second = self.make(1), self.make(2)
+            second.handle(Question, answer)
             with trio.fail_after(30):
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(one.run)
-                    self.assertTrue(one.send(other.address, Question("early")))
-                    nursery.start_soon(other.run)
-                    while (await one.request(other.address, Question("a"), timeout_s=0.5)).is_err():
+                    nursery.start_soon(first.run)
+                    self.assertTrue(first.send(second.address, Question("early")))
+                    nursery.start_soon(second.run)
+                    while (
+                        await first.request(second.address, Question("a"), timeout_s=0.5)
+                    ).is_err():
                         pass
-                    self.assertEqual(one.open_links, 1)
+                    self.assertEqual(first.open_links, 1)
                     nursery.cancel_scope.cancel()
 
         trio.run(main)
 
-    def test_young_link_is_kept_and_a_mute_one_is_dialled_anew(self) -> None:
-        """Guards against a link to a far peer that is closed each time before it has opened."""
+    def test_new_link_is_kept_and_an_unresponsive_one_is_redialled(self) -> None:
+        """Guards against a link to a distant peer that is closed each time before it has opened."""
 
         async def main() -> None:
             clock = FakeClock()
-            one = self.make(1, clock=clock)
+            first = self.make(1, clock=clock)
             nobody = PeerAddress(f"{self.prefix}.9", 7400)
 
-            async def ask() -> None:
-                await one.request(nobody, Question("x"), timeout_s=0.01)
+            async def call_platform() -> None:
+                await first.request(nobody, Question("x"), timeout_s=0.01)
 
-            for left in (1, 0):
+            for expected_links in (1, 0):
                 async with trio.open_nursery() as nursery:
-                    for _ in range(UNANSWERED_BEFORE_REDIAL):
-                        nursery.start_soon(ask)
-                self.assertEqual(one.open_links, left)
-                clock.now += DIALLING_S
+                    for _ in range(MAX_UNANSWERED_REQUESTS):
+                        nursery.start_soon(call_platform)
+                self.assertEqual(first.open_links, expected_links)
+                clock.now += MIN_REDIAL_AGE_S
 
         trio.run(main)
 
     def test_full_link_drops_and_never_blocks(self) -> None:
-        """A sender stands still because one of its peers does.
+        """Guards against a sender that is blocked by one of its peers.
 
-        Sequence: the receiver is frozen or gone, and the sender goes on sending. Cause: a send
-        that waits for room in the buffers of the link.
+        The receiver is frozen or gone and the sender goes on sending: a send must not wait for
+        room in the buffers of the link.
         """
 
         async def main() -> None:
-            one = self.make(1)
+            first = self.make(1)
             nobody = PeerAddress(f"{self.prefix}.9", 7400)
-            sent = [one.send(nobody, Question("x")) for _ in range(200)]
+            sent = [first.send(nobody, Question("x")) for _ in range(200)]
             self.assertIn(False, sent)
-            self.assertEqual(one.counts.dropped["link-full"], sent.count(False))
+            self.assertEqual(first.counts.dropped["link-full"], sent.count(False))
 
         trio.run(main)
