--- a/bench/soak/soak.py
+++ b/bench/soak/soak.py
@@ -144,10 +144,10 @@
         with self._findings.disturbance(
             *(instance.number for instance in self._deployment.instances)
         ):
-            self._deployment.store.refuse = 503
+            self._deployment.store.refusal_status = 503
             self._deployment.store.end_watches()
             await trio.sleep(duration_s)
-            self._deployment.store.refuse = None
+            self._deployment.store.refusal_status = None
 
     async def _disturb_store(self, instance: Instance, step: Step) -> None:
         faults = {
--- a/src/wagtailpoint/daemon/probing.py
+++ b/src/wagtailpoint/daemon/backend_prober.py
@@ -1,4 +1,4 @@
-"""Asks the backend servers for their load reports, one task for each."""
+"""Polls the load reports of the backend servers, with one task for each."""
 
 from collections.abc import Callable
 from random import Random
@@ -12,8 +12,8 @@
 from wagtailpoint.ports.backend import BackendAddress, Backends
 
 
-class _Probed:
-    """A backend server with its task."""
+class _ProbeTask:
+    """The probing task of a backend server."""
 
     def __init__(self, *, path: str, scope: trio.CancelScope) -> None:
         self.path = path
@@ -21,7 +21,7 @@
 
 
 class BackendProber:
-    """Keeps one probing task for each backend server of the configuration in force."""
+    """Runs one probing task for each backend server of the configuration in force."""
 
     def __init__(
         self,
@@ -32,27 +32,27 @@
         timeout_s: float,
         random: Random,
     ) -> None:
-        """Make a prober without any task.
+        """Initialise a prober without tasks.
 
         Args:
-            backends: Carries the questions.
-            health: Takes the reports.
-            interval_s: Seconds between two questions to the same backend server. It grows with
-                the number of instances, so that the sum over all instances stays bearable.
-            timeout_s: The longest wait for a report.
-            random: For the jitter.
+            backends: Sends the probes.
+            health: Receives reports and failed probes.
+            interval_s: Returns the seconds between two probes of the same backend server. It grows
+                with the number of instances, to bound the probes of all instances together.
+            timeout_s: Seconds after which a probe without a report has failed.
+            random: Source of the jitter.
         """
         self._backends = backends
         self._health = health
         self._interval_s = interval_s
         self._timeout_s = timeout_s
         self._random = random
-        self._probed: dict[BackendAddress, _Probed] = {}
+        self._tasks: dict[BackendAddress, _ProbeTask] = {}
         self._nursery: trio.Nursery | None = None
         self._config: EffectiveConfig | None = None
 
     def apply(self, config: EffectiveConfig) -> None:
-        """Follow another configuration: start and end tasks."""
+        """Start and cancel tasks to match a new configuration."""
         self._config = config
         if self._nursery is None:
             return
@@ -62,31 +62,31 @@
             for group in service.groups.values()
             for server in group
         }
-        for address, probed in list(self._probed.items()):
-            if paths.get(address) != probed.path:
-                probed.scope.cancel()
-                del self._probed[address]
+        for address, task in list(self._tasks.items()):
+            if paths.get(address) != task.path:
+                task.scope.cancel()
+                del self._tasks[address]
                 self._nursery.start_soon(self._backends.close, address)
         for address, path in paths.items():
-            if address not in self._probed:
-                probed = _Probed(path=path, scope=trio.CancelScope())
-                self._probed[address] = probed
-                self._nursery.start_soon(self._probe, address, probed)
+            if address not in self._tasks:
+                task = _ProbeTask(path=path, scope=trio.CancelScope())
+                self._tasks[address] = task
+                self._nursery.start_soon(self._probe, address, task)
         self._health.retain(list(paths))
 
     async def run(self) -> None:
-        """Probe until cancelled."""
+        """Run the probing tasks until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             if self._config is not None:
                 self.apply(self._config)
             await trio.sleep_forever()
 
-    async def _probe(self, address: BackendAddress, probed: _Probed) -> None:
-        with probed.scope:
+    async def _probe(self, address: BackendAddress, task: _ProbeTask) -> None:
+        with task.scope:
             while True:
                 report = await self._backends.probe(
-                    address, timeout_s=self._timeout_s, path=probed.path
+                    address, timeout_s=self._timeout_s, path=task.path
                 )
                 if isinstance(report, Ok):
                     self._health.observe_report(address, report.ok_value)
--- a/src/wagtailpoint/daemon/followers.py
+++ b/src/wagtailpoint/daemon/followers.py
@@ -1,4 +1,4 @@
-"""What an instance follows in the store, and who puts it in force."""
+"""Followers of the kinds of stored objects that an instance on the platform needs."""
 
 from collections.abc import Callable, Mapping
 from random import Random
@@ -23,19 +23,19 @@
     quarantine: SharedQuarantine,
     on_change: Callable[[], None],
 ) -> Mapping[str, KindFollower]:
-    """Make a follower of each kind.
+    """Return the follower of each kind, by kind.
 
     Args:
-        platform: The store.
-        peers: Asked while the store can't be reached.
-        check: Notices when a watch waits in vain.
+        platform: The object store.
+        peers: Asked for the state while the store is unreachable.
+        check: Detects watches that miss changes.
         random: For the jitter.
-        state: Puts routes, backend servers and evacuations in force.
-        quarantine: Takes in the requests that the store lists as quarantined.
+        state: Applies routes, backend servers and evacuations.
+        quarantine: Applies the list of quarantined requests.
         on_change: Called after every change.
     """
 
-    def follower(
+    def make_follower(
         kind: str,
         apply: Callable[[KindState], None],
         *,
@@ -60,10 +60,17 @@
         return made
 
     followers = [
-        follower(CONFIG_KIND, lambda told: state.apply_config(told.objects)),
-        follower(SERVERS_KIND, lambda told: state.apply_servers(told.objects), can_expire=True),
-        follower(EVACUATIONS_KIND, lambda told: state.apply_evacuations(told.objects)),
-        # Not checked: peers tell it, too, and each kind more makes the check of the others rarer.
-        follower(QUARANTINE_KIND, quarantine.take_stored, is_checked=False),
+        make_follower(CONFIG_KIND, lambda kind_state: state.apply_config(kind_state.objects)),
+        make_follower(
+            SERVERS_KIND,
+            lambda kind_state: state.apply_servers(kind_state.objects),
+            can_expire=True,
+        ),
+        make_follower(
+            EVACUATIONS_KIND, lambda kind_state: state.apply_evacuations(kind_state.objects)
+        ),
+        # Not checked: peers broadcast quarantined requests too, and every further kind makes the
+        # checks of the others less frequent.
+        make_follower(QUARANTINE_KIND, quarantine.apply_listing, is_checked=False),
     ]
-    return {each.kind: each for each in followers}
+    return {follower.kind: follower for follower in followers}
--- a/src/wagtailpoint/daemon/stopping.py
+++ b/src/wagtailpoint/daemon/graceful_stop.py
@@ -10,17 +10,17 @@
 from wagtailpoint.observe.log import log_event
 from wagtailpoint.observe.timeline import Timeline
 
-DUTY_TIMEOUT_S = 5.0
-SPREAD_S = 1.5
-"""How long the word that an instance leaves takes to reach all lookups, beside the lookups' TTL."""
+CLEANUP_TIMEOUT_S = 5.0
+LEAVE_SPREAD_S = 1.5
+"""Time for the news that an instance leaves to reach all members; added to the TTL of lookups."""
 
 
 class GracefulStop:
-    """Ends an instance without cutting any request.
+    """Stops an instance without cutting any request.
 
-    The order matters. The instance leaves the lookups first and goes on serving, because callers
-    with a cached lookup still come for as long as its TTL. Only then does it refuse, ``not-run``,
-    so that a caller that comes even later goes elsewhere. Then it waits for what is in flight.
+    The order matters. The instance first leaves the lookups and continues to serve, because callers
+    use a cached lookup until its TTL ends. Then it refuses new requests with ``not-run``, so that
+    later callers retry at another entry. Finally it waits for the requests in flight.
     """
 
     def __init__(
@@ -37,14 +37,14 @@
         self._timeline = timeline
         self._lookup_ttl_s = lookup_ttl_s
         self._drain_timeout_s = drain_timeout_s
-        self._last_duties: list[Callable[[], Awaitable[None]]] = []
+        self._cleanups: list[Callable[[], Awaitable[None]]] = []
 
-    def at_end(self, duty: Callable[[], Awaitable[None]]) -> None:
-        """Call ``duty`` when no request is open any more."""
-        self._last_duties.append(duty)
+    def add_cleanup(self, cleanup: Callable[[], Awaitable[None]]) -> None:
+        """Register a function to call after the last open request."""
+        self._cleanups.append(cleanup)
 
     async def wait(self) -> None:
-        """Wait for SIGTERM or SIGINT, then see the instance through to its end."""
+        """Wait for SIGTERM or SIGINT, then stop the instance gracefully."""
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             async for number in signals:
                 log_event("stop-begins", signal=signal.Signals(number).name)
@@ -54,7 +54,7 @@
     async def _stop(self) -> None:
         self._timeline.record("leaving")
         self._membership.leave()
-        await trio.sleep(self._lookup_ttl_s + SPREAD_S)
+        await trio.sleep(self._lookup_ttl_s + LEAVE_SPREAD_S)
         self._gate.close()
         self._timeline.record("refusing-new-requests", open=self._gate.open_requests)
         log_event("stop-drains", open_requests=self._gate.open_requests)
@@ -62,9 +62,9 @@
             await self._gate.wait_idle()
         if scope.cancelled_caught:
             log_event("stop-cuts", level="ERROR", open_requests=self._gate.open_requests)
-        for duty in self._last_duties:
-            # The platform may be out; what could not be given back ends with its lease.
-            with trio.move_on_after(DUTY_TIMEOUT_S):
-                await duty()
+        for cleanup in self._cleanups:
+            # The platform may be unavailable; what could not be released ends with its lease.
+            with trio.move_on_after(CLEANUP_TIMEOUT_S):
+                await cleanup()
         self._membership.announce_exit()
         log_event("stopped")
--- a/src/wagtailpoint/daemon/steering.py
+++ b/src/wagtailpoint/daemon/steering.py
@@ -1,4 +1,4 @@
-"""An instance of a deployment on an object store: all its parts, wired together, and its tasks."""
+"""An instance on the platform's object store: construction of its parts, and its tasks."""
 
 import signal
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -53,32 +53,32 @@
 from wagtailpoint.routing.table import DEFAULT_CALLER_BOUNDS, CallerBounds
 
 STORE_TIMEOUT_S = 1.2
-"""The longest wait for an answer of the store; it answers in 4 ms, and 100 times slower when it is
-in trouble. A call that a silent store has swallowed is given up soon after the store's return."""
+"""Time-out of calls to the store, which answers in 4 ms and up to 100 times slower under overload.
+Short, so that calls lost in an outage end soon after the store has recovered."""
 
-CALLERS_PART = 0.7
-"""The part of the file descriptors that callers may use; the rest is for backend servers."""
+CALLERS_FRACTION = 0.7
+"""Fraction of the unreserved file descriptors for callers; the rest is for backend servers."""
 
 RESERVED_DESCRIPTORS = 260
-PAGE_CONNECTIONS = 200
-STOP_SERVES_S = 4.0
-"""After SIGTERM callers are still served for so long: twice what a lookup is kept, since some of
-them keep one longer."""
+MAX_PAGE_CONNECTIONS = 200
+MIN_STOP_SERVING_S = 4.0
+"""Minimum time of service after SIGTERM, if the grace period allows: twice the TTL of lookups, as
+some callers cache a lookup for longer than its TTL."""
 
 STOP_MARGIN_S = 0.5
-"""The process ends so long before it would be killed."""
+"""The process ends this much earlier than the platform would kill it."""
 
 WITHDRAW_TIMEOUT_S = 0.5
 
 URGENT_LOAD_STEP = 0.25
-"""A load that changed by so much is told to all at once: more instances may have to be entries."""
+"""A larger change of load is broadcast at once, because more entries may be needed."""
 
 
 class SteeringInstance:
-    """One instance."""
+    """Constructs the parts of one instance on the platform and runs their tasks."""
 
     def __init__(self, *, settings: NodeSettings, settings_file: Path) -> None:
-        """Wire its parts together."""
+        """Construct the parts."""
         self._settings = settings
         self._settings_file = SettingsFile(
             path=settings_file, settings=settings, read=read_node_settings
@@ -104,7 +104,7 @@
             peers=settings.peers,
             random=self._random,
         )
-        seeds = [PeerAddress(each.address, each.port) for each in settings.seeds]
+        seeds = [PeerAddress(seed.address, seed.port) for seed in settings.seeds]
         self._membership = Membership(
             own=Fact(
                 address=settings.callers.address,
@@ -124,7 +124,7 @@
             settings=MembershipSettings(urgent_load_step=URGENT_LOAD_STEP),
         )
         self._instance_count = InstanceCount(
-            alive=self._alive, registered=lambda: self._registration.count
+            alive=self._count_alive, registered=lambda: self._registration.count
         )
         self._role = EntryRole(
             membership=self._membership,
@@ -141,9 +141,9 @@
             random=self._random,
         )
         self._fleet = Fleet(region_of=settings.region_of)
-        self._gone: list[ServerStart] = []
-        self._some_gone = trio.Event()
-        self._state = StoreState(fleet=self._fleet, on_gone=self._note_gone)
+        self._removed: list[ServerStart] = []
+        self._some_removed = trio.Event()
+        self._state = StoreState(fleet=self._fleet, on_removed=self._record_removed)
         self._workspaces = WorkspaceRules(
             state=self._state,
             bounds=lambda: self._settings_file.bounds,
@@ -169,7 +169,7 @@
             random=self._random,
             state=self._state,
             quarantine=self._quarantine,
-            on_change=self._note_change,
+            on_change=self._on_change,
         )
         self._exchange.set_followers(self._followers)
         self._sharing = WatchSharing(
@@ -178,7 +178,9 @@
             followers=self._followers,
             freshness=self._workspaces.freshness,
         )
-        self._workspaces.prove(self._followers[CONFIG_KIND], is_watcher=self._sharing.is_watcher)
+        self._workspaces.set_follower(
+            self._followers[CONFIG_KIND], is_watcher=self._sharing.is_watcher
+        )
         self._distances = Distances(
             failure_domain=settings.failure_domain,
             region=settings.region,
@@ -200,8 +202,8 @@
         self._servers = self._make_servers()
 
     async def run(self) -> None:
-        """Run until a graceful stop has ended."""
-        # Received from here on: the default action would cut the first requests.
+        """Run until a graceful stop is complete."""
+        # Installed before serving: the default action of a signal would cut the first requests.
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             log_event(
                 "started",
@@ -235,7 +237,7 @@
                         is_entry=self._role.is_entry,
                         random=self._random,
                     ),
-                    self._clean_gone,
+                    self._clean_removed,
                     self._role.report_load,
                     self._settings_file.run,
                 ]
@@ -258,15 +260,15 @@
                 count_senders=ColdSenders(
                     own=self._settings.callers.address,
                     members=self._membership.members,
-                    instances=self._instances,
+                    instances=self._count_instances,
                 ).count_senders,
             ),
-            cached_fraction=CachedFraction(fleet=self._fleet, entries=self._role.around),
+            cached_fraction=CachedFraction(fleet=self._fleet, entries=self._role.nearby_counts),
             mix=RegionMix(
                 max_shift=lambda: self._settings_file.bounds.region_shift_max,
                 random=self._random,
             ),
-            entries=self._role.around,
+            entries=self._role.nearby_counts,
         )
 
     def _make_dispatcher(self) -> Dispatcher:
@@ -291,22 +293,22 @@
         )
 
     def _make_servers(self) -> list[CallerServer]:
-        def server(endpoint: Endpoint, handler: RequestHandler, most: int) -> CallerServer:
+        def server(endpoint: Endpoint, handler: RequestHandler, limit: int) -> CallerServer:
             return CallerServer(
                 endpoint=endpoint,
                 handler=handler,
                 bounds=self._bounds,
                 is_leaving=lambda: self._leaving,
-                max_connections=most,
+                max_connections=limit,
             )
 
         settings = self._settings
-        most = int(CALLERS_PART * (settings.most_descriptors - RESERVED_DESCRIPTORS))
+        max_callers = int(CALLERS_FRACTION * (settings.most_descriptors - RESERVED_DESCRIPTORS))
         return [
-            server(settings.callers, self._dispatcher.handle, most),
-            server(settings.lookups, self._pages.handle, PAGE_CONNECTIONS),
-            server(settings.readiness, self._pages.handle, PAGE_CONNECTIONS),
-            server(settings.metrics, self._pages.handle_metrics, PAGE_CONNECTIONS),
+            server(settings.callers, self._dispatcher.handle, max_callers),
+            server(settings.lookups, self._pages.handle, MAX_PAGE_CONNECTIONS),
+            server(settings.readiness, self._pages.handle, MAX_PAGE_CONNECTIONS),
+            server(settings.metrics, self._pages.handle_metrics, MAX_PAGE_CONNECTIONS),
         ]
 
     def _cold_bound(self) -> ColdBound:
@@ -321,15 +323,15 @@
         table = self._state.table
         return table.bounds if table is not None else DEFAULT_CALLER_BOUNDS
 
-    def _alive(self) -> int:
+    def _count_alive(self) -> int:
         return sum(member.state != "dead" for member in self._membership.members())
 
-    def _instances(self) -> int:
-        """How many instances share what is bounded for all together."""
+    def _count_instances(self) -> int:
+        """Return how many instances share the common bounds."""
         return self._instance_count.value
 
     def _is_alone(self) -> bool:
-        return self._alive() <= 1
+        return self._count_alive() <= 1
 
     def _is_ready(self) -> bool:
         known = all(follower.has_state for follower in self._followers.values())
@@ -341,49 +343,51 @@
             "caller_connections": self._servers[0].connections,
             "backend_servers": len(self._fleet.entries),
             "unusable_server_entries": self._state.unusable_entries,
-            "instances": self._instances(),
+            "instances": self._count_instances(),
             "entries": len(self._role.choice.all),
             "load": self._membership.own.load,
             **self._quarantine.gauges,
             **self._workspaces.gauges,
-            "watching": all(each.is_watching for each in self._followers.values()),
+            "watching": all(follower.is_watching for follower in self._followers.values()),
             "config_version": self._state.table.version if self._state.table else 0,
         }
 
-    def _note_change(self) -> None:
+    def _on_change(self) -> None:
         self._sharing.answer_waiting()
-        self._workspaces.note_change()
+        self._workspaces.record_change()
         if self._membership.own.state == "starting" and self._is_ready():
             self._membership.publish(state="live")
             log_event("ready", backend_servers=len(self._fleet.entries))
 
-    def _note_gone(self, start: ServerStart) -> None:
-        self._gone.append(start)
-        self._some_gone.set()
+    def _record_removed(self, start: ServerStart) -> None:
+        self._removed.append(start)
+        self._some_removed.set()
 
-    async def _clean_gone(self) -> None:
+    async def _clean_removed(self) -> None:
         while True:
-            if not self._gone:
-                self._some_gone = trio.Event()
-                await self._some_gone.wait()
-            gone, self._gone[:] = list(self._gone), []
-            for start in gone:
+            if not self._removed:
+                self._some_removed = trio.Event()
+                await self._some_removed.wait()
+            removed, self._removed[:] = list(self._removed), []
+            for start in removed:
                 self._placement.remove(start)
                 await self._pool.close(start)
 
     async def _stop(self) -> None:
-        """Leave the lookups first, serve who still comes, then end without cutting a request."""
-        began = trio.current_time()
-        end = began + self._settings_file.bounds.grace_s - STOP_MARGIN_S
+        """Leave the lookups, serve callers with a cached lookup, then wait for open requests."""
+        started_at = trio.current_time()
+        deadline = started_at + self._settings_file.bounds.grace_s - STOP_MARGIN_S
         self._leaving = True
         self._membership.leave()
         with trio.move_on_after(WITHDRAW_TIMEOUT_S):
             await self._registration.withdraw()
-            await self._workspaces.give_up()
-        await trio.sleep_until(min(began + max(STOP_SERVES_S, 2 * LOOKUP_TTL_S), end - 1.0))
+            await self._workspaces.release_slots()
+        await trio.sleep_until(
+            min(started_at + max(MIN_STOP_SERVING_S, 2 * LOOKUP_TTL_S), deadline - 1.0)
+        )
         for server in self._servers:
             server.stop_accepting()
-        with trio.move_on_at(end) as scope:
+        with trio.move_on_at(deadline) as scope:
             await self._dispatcher.wait_idle()
         if scope.cancelled_caught:
             log_event("stop-cuts", level="ERROR", open_requests=self._dispatcher.open_requests)
@@ -391,5 +395,5 @@
 
 
 async def run_steering_instance(settings: NodeSettings, settings_file: Path) -> None:
-    """Run one instance until a graceful stop has ended."""
+    """Run one instance until a graceful stop is complete."""
     await SteeringInstance(settings=settings, settings_file=settings_file).run()
--- a/tests/common/deployment_process.py
+++ b/tests/common/deployment_process.py
@@ -1,6 +1,6 @@
 """A whole example deployment as separate processes: platform, backend servers, entry instances.
 
-Used by the demo, the integration tests and the bench, so that all of them run the same programs.
+The demo, the integration tests and the benches use it, so that all of them run the same programs.
 """
 
 import json
@@ -27,13 +27,13 @@
 from wagtailpoint.ports.platform import ListedInstance
 from wagtailpoint.settings import Settings, check_settings
 
-POLL_S = 0.05
-FIRST_MORE = 201
-"""The last number of the first address that no file of an example uses."""
+POLL_INTERVAL_S = 0.05
+FIRST_EXTRA_OCTET = 201
+"""Last octet of the first address that no settings file of an example uses."""
 
 
 class EntryProcess(ModuleProcess):
-    """One entry instance; its settings stay where a replacement finds them."""
+    """One entry instance; its settings file is kept for a restart."""
 
     def __init__(self, *, settings: Settings, settings_file: Path) -> None:
         self.settings = settings
@@ -46,11 +46,11 @@
 
     @property
     def place(self) -> tuple[str, int]:
-        """Where callers and operators reach it."""
+        """Address and port for callers and operators."""
         return self.settings.address, self.settings.port
 
     def page(self, name: str) -> Any:
-        """One of its own pages, decoded; for example ``status``."""
+        """Return a page of its API, decoded; for example ``status``."""
         url = f"http://{self.settings.address}:{self.settings.port}/v1/{name}"
         limit = dict.fromkeys(("connect", "read", "write", "pool"), LIMIT_S)
         answer = httpcore.request("GET", url, extensions={"timeout": limit})
@@ -62,13 +62,13 @@
 
     def __init__(self, *, service: str, servers: Sequence[BackendAddress], options: Sequence[str]):
         first = servers[0]
-        also = [text for server in servers[1:] for text in ("--also", str(server))]
+        more_servers = [text for server in servers[1:] for text in ("--also", str(server))]
         self.servers = tuple(servers)
         super().__init__(
             module="tests.common.backend_standin",
             arguments=[
                 *("--address", first.address, "--port", str(first.port), "--service", service),
-                *also,
+                *more_servers,
                 *options,
             ],
             address=first.address,
@@ -76,41 +76,41 @@
         )
 
     def control(self, server: BackendAddress, method: str, path: str, value: Any = None) -> Any:
-        """Order a fault of one backend server, or read its record."""
+        """Set faults of one backend server, or read its record."""
         url = f"http://{server}/standin/{path}"
         answer = httpcore.request(method, url, content=msgspec.json.encode(value))
         return msgspec.json.decode(answer.content)
 
     def set_mode(self, **modes: Any) -> None:
-        """Order the same faults of all; see ``backend_worker.Mode``."""
+        """Set the same faults on all backend servers; see ``backend_worker.Mode``."""
         unknown = modes.keys() - Mode.__annotations__.keys()
         if unknown:
-            # The test of a fault that does not exist would pass.
+            # Otherwise a test with a misspelt fault would pass without the fault.
             raise ValueError(f"given the modes {unknown}, expected those of backend_worker.Mode")
         for server in self.servers:
             self.control(server, "POST", "mode", modes)
 
     def records(self) -> dict[BackendAddress, Any]:
-        """The record of each backend server."""
+        """Return the record of each backend server."""
         return {server: self.control(server, "GET", "record") for server in self.servers}
 
 
 def count_live(entry: EntryProcess) -> int:
-    """How many live instances an instance knows, itself among them."""
+    """Return how many live instances an instance knows, itself included."""
     return sum(member["state"] == "live" for member in entry.page("status")["members"])
 
 
 class RunningDeployment:
-    """An example deployment that runs; use as a context manager.
+    """Context manager that runs an example deployment.
 
     Args:
-        name: One of ``examples.deployment.DEPLOYMENTS``.
-        entries: How many of its entry instances run.
-        timings: Replaces timings of the settings.
-        settings: Replaces other settings, for example ``log_level``.
-        limits: Replaces limits of the settings.
-        backend_options: Command line of the backend stand-ins.
-        platform_options: Command line of the platform stand-in.
+        name: Name of a deployment in ``examples.deployment.DEPLOYMENTS``.
+        entries: Number of entry instances.
+        timings: Overrides timings of the settings.
+        settings: Overrides other settings, for example ``log_level``.
+        limits: Overrides limits of the settings.
+        backend_options: Command-line options of the backend stand-ins.
+        platform_options: Command-line options of the platform stand-in.
     """
 
     def __init__(
@@ -128,7 +128,7 @@
         self._deployment = load_deployment(name, prefix=prefix)
         self._stack = ExitStack()
         self._directory = Path(self._stack.enter_context(tempfile.TemporaryDirectory()))
-        files = self._spread(entries)
+        files = self._select_settings_files(entries)
         changes = {"timings": timings or {}, "limits": limits or {}}
         files = {name: {**value, **(settings or {})} for name, value in files.items()}
         self.entries = [self._entry(file, value, changes) for file, value in files.items()]
@@ -156,13 +156,13 @@
 
     @property
     def objects_file(self) -> Path:
-        """A file with all configuration objects, for ``wagtailpoint apply``."""
+        """Path of a file with all configuration objects, for ``wagtailpoint apply``."""
         path = self._directory / "objects.json"
         path.write_text(json.dumps(dict(self.objects)))
         return path
 
     def cli(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        """Run the command-line tool; the exit code is the caller's to check."""
+        """Run the command-line tool without checking its exit code."""
         path = os.pathsep.join([str(ROOT / "src"), str(ROOT)])
         return subprocess.run(
             [sys.executable, "-m", "wagtailpoint.cli", *arguments],
@@ -174,21 +174,21 @@
         )
 
     def apply_objects(self) -> None:
-        """Apply all configuration objects and wait until they are in force everywhere."""
-        done = self.cli("apply", str(self.objects_file), "--wait")
-        if done.returncode != 0:
-            raise RuntimeError(f"apply: exit {done.returncode}\n{done.stdout}{done.stderr}")
+        """Apply all configuration objects and wait until they are in force on all instances."""
+        result = self.cli("apply", str(self.objects_file), "--wait")
+        if result.returncode != 0:
+            raise RuntimeError(f"apply: exit {result.returncode}\n{result.stdout}{result.stderr}")
 
     def set_platform(self, **modes: Any) -> None:
         """Switch faults of the platform on or off; see ``platform_standin.Modes``."""
         self._control_platform("POST", "mode", modes)
 
     def platform_counts(self) -> Any:
-        """The platform's calls so far; see ``PlatformProcess.counts``."""
+        """Return the counts of calls to the platform; see ``PlatformProcess.counts``."""
         return self._control_platform("GET", "counts", None)
 
     def set_instances(self, places: Sequence[tuple[str, str]]) -> None:
-        """Set the platform's list of live instances: address and failure domain of each."""
+        """Set the platform's list of live instances, as pairs of address and failure domain."""
         listed = [ListedInstance(address, domain, "live")._asdict() for address, domain in places]
         self._control_platform("PUT", "instances", listed)
 
@@ -199,17 +199,20 @@
         return msgspec.json.decode(answer.content)
 
     def wait_members(self) -> None:
-        """Wait until every instance knows all others to be live."""
-        give_up_s = time.monotonic() + LIMIT_S
+        """Wait until every instance sees all instances as live."""
+        deadline_s = time.monotonic() + LIMIT_S
         for entry in self.entries:
             while count_live(entry) < len(self.entries):
-                if time.monotonic() > give_up_s:
-                    seen = [(m["address"], m["state"]) for m in entry.page("status")["members"]]
+                if time.monotonic() > deadline_s:
+                    seen = [
+                        (member["address"], member["state"])
+                        for member in entry.page("status")["members"]
+                    ]
                     raise RuntimeError(f"{entry.place} sees {seen}")
-                time.sleep(POLL_S)
+                time.sleep(POLL_INTERVAL_S)
 
     def caller(self, workspace: str, *, address: str | None = None) -> Caller:
-        """A caller that knows all entry instances; by default from the region of the first one."""
+        """Return a caller that knows all entries; by default with the address of the first one."""
         client = address or self.entries[0].settings.address
         places = [entry.place for entry in self.entries]
         return Caller(entries=places, workspace=workspace, address=client, seed=1)
@@ -231,8 +234,8 @@
     ) -> None:
         self._stack.__exit__(exception_type, exception, traceback)
 
-    def _spread(self, count: int) -> Mapping[str, Any]:
-        """Some of the settings files, from as many failure domains as possible."""
+    def _select_settings_files(self, count: int) -> Mapping[str, Any]:
+        """Return ``count`` settings files, from as many failure domains as possible."""
         by_domain: dict[str, list[str]] = {}
         for name, value in self._deployment.settings_files.items():
             by_domain.setdefault(value["failure_domain"], []).append(name)
@@ -240,13 +243,13 @@
         order = [names[i] for i in range(rounds) for names in by_domain.values() if i < len(names)]
         files = {name: self._deployment.settings_files[name] for name in order[:count]}
         for number in range(count - len(order)):
-            files[f"more-{number}"] = self._one_more(order[number % len(order)], number)
+            files[f"more-{number}"] = self._extra_settings(order[number % len(order)], number)
         return files
 
-    def _one_more(self, like: str, number: int) -> Any:
-        """The settings of an instance beyond those of the example, beside one of them."""
-        value = self._deployment.settings_files[like]
-        address = f"{self._deployment.prefix}.{FIRST_MORE + number}"
+    def _extra_settings(self, original: str, number: int) -> Any:
+        """Return settings of an additional instance in the failure domain of an existing one."""
+        value = self._deployment.settings_files[original]
+        address = f"{self._deployment.prefix}.{FIRST_EXTRA_OCTET + number}"
         return {**value, "address": address}
 
     def _entry(self, name: str, value: Any, changes: Mapping[str, Any]) -> EntryProcess:
--- a/tests/cover/test_config_watcher.py
+++ b/tests/cover/test_config_watcher.py
@@ -32,7 +32,7 @@
 
 class WatcherTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.platform = FakePlatform(most_events=10)
+        self.platform = FakePlatform(max_events=10)
         self.store = ConfigStore(platform=self.platform, clock_wall=lambda: 0.0)
         logger.disable("wagtailpoint")
         self.addCleanup(logger.enable, "wagtailpoint")
@@ -212,7 +212,7 @@
         The platform doesn't answer for a moment, in which the watch is opened, and then answers all
         other calls. The watch has to time out early enough for the change to be enforced in 11 s.
         """
-        self.platform = TimingOutPlatform(most_events=10)
+        self.platform = TimingOutPlatform(max_events=10)
         self.store = ConfigStore(platform=self.platform, clock_wall=lambda: 0.0)
 
         async def test(_: ConfigWatcher) -> None:
--- a/tests/cover/test_observing.py
+++ b/tests/cover/test_observing.py
@@ -1,4 +1,4 @@
-"""Metrics, their text format, and what is said of requests on the time line."""
+"""Metrics and their text format, timeline events of requests, log lines, API pages."""
 
 import unittest
 from contextlib import redirect_stdout
@@ -9,9 +9,9 @@
 from loguru import logger
 
 from tests.common.fake_clock import FakeClock
-from wagtailpoint.daemon.api import OwnPages, Page
-from wagtailpoint.daemon.metrics_page import measure, metrics_text
-from wagtailpoint.daemon.observing import RequestObserver
+from wagtailpoint.daemon.api import ApiRouter, Page
+from wagtailpoint.daemon.metrics_page import collect_metrics, metrics_text
+from wagtailpoint.daemon.request_observer import RequestObserver
 from wagtailpoint.entry.observer import CompletedRequest
 from wagtailpoint.entry.request import CallerRequest
 from wagtailpoint.observe.hlc import ZERO_STAMP, HybridClock
@@ -44,8 +44,8 @@
         metrics.count("verdict.ran", 3)
         metrics.record_latency(LatencyKey("request", 'a"b', "browse", verdict="ran"), 0.5)
         peers = PeerCounts({"heartbeat": Traffic(2, 80)}, {}, {"link-full": 1})
-        measured = trio.run(measure, metrics, peers, {"open_requests": 4})
-        lines = metrics_text(measured).decode().splitlines()
+        snapshot = trio.run(collect_metrics, metrics, peers, {"open_requests": 4})
+        lines = metrics_text(snapshot).decode().splitlines()
         labels = r'workspace="a\"b",class="browse",verdict="ran"'
         for line in (
             "# TYPE wagtailpoint_request_seconds summary",
@@ -70,7 +70,9 @@
         return CallerRequest("GET", "/p", "/p", [*HEADERS, *more], None, None, 0.0)
 
     def events(self) -> list[tuple[str, object]]:
-        return [(each.event, each.fields["request_id"]) for each in self.timeline.since(ZERO_STAMP)]
+        return [
+            (event.event, event.fields["request_id"]) for event in self.timeline.since(ZERO_STAMP)
+        ]
 
     def test_plain_answers_are_counted_without_an_event(self) -> None:
         self.observer.on_completed(self.request(), CompletedRequest(None, 200, Verdict.RAN, "ok"))
@@ -97,11 +99,11 @@
             logger.configure(extra={})
         return written.getvalue()
 
-    def test_a_line_of_pairs_for_each_event(self) -> None:
+    def test_event_is_one_line_of_key_value_pairs(self) -> None:
         line = self.line(target="/a?b", reason='a "b" c\\')
         self.assertIn('level=INFO event=test instance=e target=/a?b reason="a \\"b\\" c', line)
 
-    def test_event_that_is_given_in_the_message_is_named_once(self) -> None:
+    def test_event_named_in_the_message_is_not_repeated(self) -> None:
         with redirect_stdout(StringIO()) as written:
             configure_log(level="INFO", instance="e")
             logger.info("event=seat-taken seat={}", "a-1")
@@ -109,18 +111,18 @@
             logger.configure(extra={})
         self.assertIn("level=INFO event=seat-taken seat=a-1 instance=e", written.getvalue())
 
-    def test_value_can_not_forge_a_line(self) -> None:
-        """Symptom: the log shows an event that never was. Cause: a line break in a header."""
+    def test_value_cannot_forge_a_line(self) -> None:
+        """Guards against forged log lines, made by a line break in the value of a header."""
         line = self.line(reason="a\r\nlevel=ERROR event=forged\x1b\u2028")
         self.assertEqual(len(line.splitlines()), 1, line)
 
 
-class OwnPagesTest(unittest.TestCase):
-    def test_quick_page_repeats_the_request_id(self) -> None:
+class ApiRouterTest(unittest.TestCase):
+    def test_synchronous_page_returns_the_request_id(self) -> None:
         def page(query):
             return Page(HTTPStatus.OK, dict(query))
 
-        pages = OwnPages(pages={}, quick={"echo": page})
+        pages = ApiRouter(pages={}, quick={"echo": page})
         reply = pages.answer(b"/v1/echo?a=1&a=2", HEADERS)
         assert reply is not None
         self.assertEqual(reply.body, b'{"a":"2"}')
