--- a/src/wagtailpoint/adapters/backend_http.py
+++ b/src/wagtailpoint/adapters/backend_http.py
@@ -1,8 +1,8 @@
 """Exchanges with backend servers over HTTP/1.1, with httpcore on trio.
 
-What matters here is the verdict. ``NOT_RUN`` is said in two cases only: no byte of the request was
-handed to a socket, or the backend server said "shed, not run" in an answer that bears this
-request's id. Everything else that goes wrong is ``MAY_HAVE_RUN``.
+A failure gets the verdict ``NOT_RUN`` in two cases only: no byte of the request was written to a
+socket, or the backend server answered "shed, not run" with the id of this request. Every other
+failed exchange gets ``MAY_HAVE_RUN``.
 """
 
 from collections.abc import AsyncGenerator, AsyncIterator
@@ -28,21 +28,21 @@
 )
 from wagtailpoint.verdict import Verdict
 
-KEPT_CONNECTIONS = 12
-"""Idle connections kept for each backend server."""
+MAX_IDLE_CONNECTIONS = 12
+"""Per backend server."""
 
-MOST_CONNECTIONS = 36
-"""Exchanges at the same time with one backend server: 9 entries share its 330 connections."""
+MAX_CONNECTIONS = 36
+"""Concurrent exchanges with one backend server: 9 entries share its 330 connections."""
 
-BODY_STALL_S = 30.0
-"""How long a response's body may stand still, in seconds, before it counts as broken: a frozen
-backend server would otherwise hold a slot of the entry forever."""
+BODY_STALL_TIMEOUT_S = 30.0
+"""Maximum time without data within a response body, in seconds. A frozen backend server would
+otherwise hold a slot of the entry forever."""
 
-REFUSAL_BODY_S = 0.05
-"""How long the body of a shed answer is waited for, in seconds, to use its connection again."""
+SHED_BODY_TIMEOUT_S = 0.05
+"""Maximum time for reading the body of a shed response, in seconds, to reuse its connection."""
 
-REFUSAL_BODY_BYTES = 16 * 1024
-REPORT_BYTES = 64 * 1024
+MAX_SHED_BODY_BYTES = 16 * 1024
+MAX_REPORT_BYTES = 64 * 1024
 OK_STATUS = 200
 SHED_STATUS = 503
 
@@ -60,12 +60,12 @@
 
 
 class PoolCounts(NamedTuple):
-    """How often connections to a backend server were opened and used again.
+    """Numbers of opened, reused and idle connections to a backend server.
 
     Attributes:
-        opened: Connections opened.
-        reused: Exchanges that used a connection again.
-        idle: Idle connections now.
+        opened: Connections opened since the start.
+        reused: Exchanges since the start that reused a connection.
+        idle: Connections that are idle at present.
     """
 
     opened: int
@@ -74,30 +74,30 @@
 
 
 class HttpBackends:
-    """The connections to all backend servers; implements ``ports.backend.Backends``."""
+    """Sends requests to all backend servers; implements ``ports.backend.Backends``."""
 
     def __init__(
         self,
         *,
-        kept_connections: int = KEPT_CONNECTIONS,
-        most_connections: int = MOST_CONNECTIONS,
-        body_stall_s: float = BODY_STALL_S,
+        max_idle_connections: int = MAX_IDLE_CONNECTIONS,
+        max_connections: int = MAX_CONNECTIONS,
+        body_stall_s: float = BODY_STALL_TIMEOUT_S,
     ) -> None:
-        """Make an adapter without any connection.
+        """Initialise the adapter without opening a connection.
 
         Args:
-            kept_connections: Idle connections kept for each backend server.
-            most_connections: Exchanges at the same time with one backend server.
-            body_stall_s: How long a response's body may stand still, in seconds.
+            max_idle_connections: Maximum number of idle connections per backend server.
+            max_connections: Maximum number of concurrent exchanges per backend server.
+            body_stall_s: Maximum time without data within a response body, in seconds.
         """
-        self._kept = kept_connections
-        self._most = most_connections
+        self._max_idle = max_idle_connections
+        self._max_connections = max_connections
         self._body_stall_s = body_stall_s
         self._pools: dict[BackendAddress, ConnectionPool] = {}
         self._probes = 0
 
     def counts(self, server: BackendAddress) -> PoolCounts:
-        """How the connections to a backend server were used."""
+        """Return the connection counts of a backend server."""
         pool = self._pools.get(server)
         return (
             PoolCounts(0, 0, 0) if pool is None else PoolCounts(pool.opened, pool.reused, pool.idle)
@@ -107,7 +107,7 @@
     async def exchange(
         self, server: BackendAddress, request: BackendRequest
     ) -> AsyncIterator[Result[BackendResponse, BackendFailure]]:
-        """Send one request to one backend server, without any retry."""
+        """Send one request to one backend server, without retries."""
         pool = self._pool(server)
         deadline = trio.current_time() + request.deadline_s
         acquired = await _acquire(pool, request, deadline)
@@ -116,11 +116,11 @@
             return
         connection = acquired.ok_value
         try:
-            answered = await _send(connection, server, request, deadline)
-            if isinstance(answered, Err):
-                yield answered
+            outcome = await _send(connection, server, request, deadline)
+            if isinstance(outcome, Err):
+                yield outcome
                 return
-            response = answered.ok_value
+            response = outcome.ok_value
             body = ResponseBody(response=response, stall_s=self._body_stall_s)
             try:
                 headers = backend_headers.end_to_end(response.headers)
@@ -133,7 +133,7 @@
     async def probe(
         self, server: BackendAddress, *, timeout_s: float, path: str = "/load"
     ) -> Result[LoadReport, BackendFailure]:
-        """Ask a backend server for its health and load."""
+        """Fetch the load report of a backend server."""
         self._probes += 1
         request = BackendRequest(
             request_id=f"probe-{self._probes}",
@@ -145,14 +145,14 @@
             idempotent=True,
         )
         with trio.move_on_after(timeout_s):
-            async with self.exchange(server, request) as answered:
-                if isinstance(answered, Err):
-                    return answered
-                return await _read_report(answered.ok_value)
+            async with self.exchange(server, request) as outcome:
+                if isinstance(outcome, Err):
+                    return outcome
+                return await _read_report(outcome.ok_value)
         return Err(BackendFailure(Verdict.MAY_HAVE_RUN, FailureReason.TIMEOUT))
 
     async def close(self, server: BackendAddress) -> None:
-        """Close idle connections to a backend server that left the configuration."""
+        """Close the connections to a backend server that was removed from the configuration."""
         pool = self._pools.pop(server, None)
         if pool is not None:
             await pool.retire()
@@ -160,13 +160,15 @@
     def _pool(self, server: BackendAddress) -> ConnectionPool:
         pool = self._pools.get(server)
         if pool is None:
-            pool = ConnectionPool(server=server, kept=self._kept, most=self._most)
+            pool = ConnectionPool(
+                server=server, max_idle=self._max_idle, max_connections=self._max_connections
+            )
             self._pools[server] = pool
         return pool
 
 
 class ResponseBody:
-    """A response's body, which ends cleanly only if it is whole."""
+    """A response body whose iteration ends without an error only if the body is complete."""
 
     def __init__(self, *, response: httpcore.Response, stall_s: float) -> None:
         stream: Any = response.stream
@@ -179,15 +181,16 @@
         return self
 
     async def __anext__(self) -> bytes:
-        # httpcore's iterator that broke once ends cleanly when it is asked again; this one doesn't.
+        # After an error, httpcore's iterator ends cleanly on the next call, so that a broken body
+        # would look complete. This one raises the error again.
         if self._broken is not None:
             raise BodyBroken(self._broken)
-        self._broken = f"the body stood still for {self._stall_s} s"
+        self._broken = f"no data of the response body within {self._stall_s} s"
         with trio.move_on_after(self._stall_s):
             try:
                 chunk: bytes = await anext(self._chunks)
             except (httpcore.ProtocolError, httpcore.NetworkError) as error:
-                self._broken = f"the body ended before its promised end: {error}"
+                self._broken = f"the response body is incomplete: {error}"
                 raise BodyBroken(self._broken) from error
             except StopAsyncIteration:
                 self._broken = None
@@ -197,8 +200,8 @@
         raise BodyBroken(self._broken)
 
     async def aclose(self) -> None:
-        """Close the connection, unless the body was read to its end."""
-        self._broken = self._broken or "the exchange is over"
+        """Close the response; its connection too, unless the body was read to its end."""
+        self._broken = self._broken or "the response body was closed"
         with trio.CancelScope(shield=True):
             await self._chunks.aclose()
             await self._stream.aclose()
@@ -207,7 +210,7 @@
 async def _acquire(
     pool: ConnectionPool, request: BackendRequest, deadline: float
 ) -> Result[PooledConnection, BackendFailure]:
-    """Get a connection. No byte of the request leaves here, so each failure is ``NOT_RUN``."""
+    """Acquire a connection. No byte of the request is sent, so every failure is ``NOT_RUN``."""
     try:
         with trio.move_on_at(deadline):
             return Ok(await pool.acquire(idempotent=request.idempotent))
@@ -221,9 +224,9 @@
 async def _send(
     connection: PooledConnection, server: BackendAddress, request: BackendRequest, deadline: float
 ) -> Result[httpcore.Response, BackendFailure]:
-    """Send the request and wait for the head of its response."""
+    """Send the request and wait for the status and headers of its response."""
     connection.stream.start_request()
-    left_s = deadline - trio.current_time()
+    remaining_s = deadline - trio.current_time()
     try:
         with trio.move_on_at(deadline):
             http_request = httpcore.Request(
@@ -234,60 +237,62 @@
                     port=connection.origin.port,
                     target=request.target.encode(),
                 ),
-                headers=backend_headers.request_headers(server, request, left_s=left_s),
+                headers=backend_headers.request_headers(server, request, remaining_s=remaining_s),
                 content=request.body,
             )
             response = await connection.http.handle_async_request(http_request)
-            return await _judge(request, response)
+            return await _classify_response(request, response)
         reason = FailureReason.TIMEOUT
     except (httpcore.LocalProtocolError, h11.LocalProtocolError):
         reason = FailureReason.BAD_REQUEST
     except (httpcore.RemoteProtocolError, httpcore.NetworkError):
-        reason = FailureReason.RESET if connection.stream.ended else FailureReason.BAD_RESPONSE
-    handed_over = connection.stream.handed_over
-    return Err(BackendFailure(Verdict.MAY_HAVE_RUN if handed_over else Verdict.NOT_RUN, reason))
+        reason = (
+            FailureReason.RESET if connection.stream.closed_by_peer else FailureReason.BAD_RESPONSE
+        )
+    may_have_sent = connection.stream.may_have_sent
+    return Err(BackendFailure(Verdict.MAY_HAVE_RUN if may_have_sent else Verdict.NOT_RUN, reason))
 
 
-async def _judge(
+async def _classify_response(
     request: BackendRequest, response: httpcore.Response
 ) -> Result[httpcore.Response, BackendFailure]:
-    """Tell a usable response from a shed one and from one that can't be trusted."""
+    """Return the response if it is usable, otherwise the failure that it stands for."""
     headers = response.headers
-    if not backend_headers.is_for_us(headers, request, must_echo=request.echoes_request_id):
+    if not backend_headers.matches_request(headers, request, must_echo=request.echoes_request_id):
         return Err(BackendFailure(Verdict.MAY_HAVE_RUN, FailureReason.CROSSED_ANSWER))
     shed = backend_headers.first_value(headers, backend_headers.SHED_HEADER)
     if response.status == SHED_STATUS and shed == backend_headers.SHED_NOT_RUN:
         await _discard_body(response)
-        # A shed answer without our id might be meant for another request, while ours runs: only
-        # one that bears it is a promise, also from a service that need not repeat ids elsewhere.
-        ours = backend_headers.is_for_us(headers, request, must_echo=True)
+        # A shed response without this request's id may belong to another request while this one
+        # runs. It proves NOT_RUN only with the id, even if the service need not echo ids.
+        bears_own_id = backend_headers.matches_request(headers, request, must_echo=True)
         return Err(
             BackendFailure(
-                Verdict.NOT_RUN if ours else Verdict.MAY_HAVE_RUN,
+                Verdict.NOT_RUN if bears_own_id else Verdict.MAY_HAVE_RUN,
                 FailureReason.SHED,
                 shed=True,
                 retry_after_s=backend_headers.retry_after_s(headers),
-                draining=backend_headers.says_draining(headers),
+                draining=backend_headers.is_draining(headers),
             )
         )
-    if not backend_headers.has_known_end(request.method, response.status, headers):
+    if not backend_headers.has_delimited_body(request.method, response.status, headers):
         return Err(BackendFailure(Verdict.MAY_HAVE_RUN, FailureReason.BAD_RESPONSE))
     return Ok(response)
 
 
 async def _discard_body(response: httpcore.Response) -> None:
-    """Read a short body to its end, so that the connection can be used again."""
+    """Read a short body to its end, so that the connection can be reused."""
     stream: Any = response.stream
-    left = REFUSAL_BODY_BYTES
+    remaining_bytes = MAX_SHED_BODY_BYTES
     try:
-        with trio.move_on_after(REFUSAL_BODY_S):
+        with trio.move_on_after(SHED_BODY_TIMEOUT_S):
             async with aclosing(aiter(stream)) as chunks:
                 async for chunk in chunks:
-                    left -= len(chunk)
-                    if left < 0:
+                    remaining_bytes -= len(chunk)
+                    if remaining_bytes < 0:
                         break
     except (httpcore.ProtocolError, httpcore.NetworkError):
-        pass  # the verdict came with the head; the connection is closed below
+        pass  # The verdict is known from the headers; the connection is closed below.
     with trio.CancelScope(shield=True):
         await stream.aclose()
 
@@ -298,7 +303,7 @@
     try:
         async for chunk in response.body:
             content += chunk
-            if len(content) > REPORT_BYTES:
+            if len(content) > MAX_REPORT_BYTES:
                 return bad
         report = msgspec.json.decode(content, type=_Report)
     except (BodyBroken, msgspec.DecodeError):
--- a/src/wagtailpoint/adapters/http_connection.py
+++ b/src/wagtailpoint/adapters/http_connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection: reading, writing, and the limits on a caller that does neither."""
+"""The connection of one caller: reading, writing, and the time limits on an inactive caller."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager, suppress
@@ -15,25 +15,26 @@
     CallerProtocol,
     QuickHandler,
     ServerConfig,
-    slow_head,
+    slow_head_refusal,
 )
 from wagtailpoint.proxy.caller_connection import reset_on_close
 
-LINGER_S = 2.0
-LINGER_BYTES = 16 * 1024 * 1024
-"""The rest of a request's body that is read and dropped after an early reply, before the connection
-is closed: a close with unread bytes resets the connection, and the reset can overtake the reply."""
+LINGER_TIMEOUT_S = 2.0
+MAX_LINGER_BYTES = 16 * 1024 * 1024
+"""Limits for reading and discarding the rest of a request body after an early reply, before the
+connection is closed. A close with unread bytes resets the connection, and the reset can overtake
+the reply."""
 
 READ_BYTES = 64 * 1024
 
 
 class CallerLimits(NamedTuple):
-    """How long a caller may do nothing, in seconds.
+    """Maximum times of inactivity of a caller, in seconds.
 
     Attributes:
         idle_s: Between two requests.
-        stall_s: In the middle of the headers or the body of a request, and for each piece of a
-            reply (64 KiB at most). A reader that stops would otherwise hold the slot of a backend
+        stall_s: Within the headers or the body of a request, and for taking each chunk of a reply
+            (64 KiB at most). A caller that stops reading would otherwise hold the slot of a backend
             server, its connection and the entry's memory forever, and a graceful stop would wait
             for it. A slow but steady reader gets its whole download.
     """
@@ -42,12 +43,12 @@
     stall_s: float
 
 
-Resting = dict["CallerConnection", float]
-"""The connections without an open request and since when, longest first."""
+IdleConnections = dict["CallerConnection", float]
+"""Connections without an open request, with the time since when, longest idle first."""
 
 
 class CallerConnection:
-    """One caller's connection; one task reads it, and each request has one."""
+    """The connection of one caller; one task reads from it, and each request has its own task."""
 
     def __init__(
         self,
@@ -57,85 +58,85 @@
         config: ServerConfig,
         context: WorkerContext,
         limits: CallerLimits,
-        resting: Resting,
+        idle_connections: IdleConnections,
         quick: QuickHandler | None = None,
         is_leaving: Callable[[], bool] = lambda: False,
     ) -> None:
-        """Make a connection that was just accepted.
+        """Initialise the connection for an accepted socket.
 
         Args:
-            stream: Its socket.
-            app: The application that serves its requests.
+            stream: The accepted socket.
+            app: The application that serves the requests.
             config: Hypercorn's configuration.
             context: Hypercorn's state of the whole server.
-            limits: How long the caller may do nothing.
-            resting: Where it enters itself while it has no open request.
+            limits: Maximum times of inactivity of the caller.
+            idle_connections: Holds the connection while it has no open request.
             quick: Answers some requests at once.
-            is_leaving: Whether callers shall not use the connection again.
+            is_leaving: Returns whether callers are told not to reuse the connection.
         """
         self._stream = stream
         self._app = app
         self._config = config
         self._context = context
         self._limits = limits
-        self._resting = resting
+        self._idle_connections = idle_connections
         self._quick = quick
         self._is_leaving = is_leaving
         self._reading = trio.CancelScope()
         self._request: trio.CancelScope | None = None
-        self._gone = False
-        self._over = False
-        self._head_began = False
+        self._disconnected = False
+        self._closed_locally = False
+        self._head_started = False
         self._protocol: CallerProtocol
 
     async def run(self) -> None:
-        """Serve it to its end."""
+        """Serve the connection until it ends."""
         try:
             async with TaskGroup() as group:
                 self._protocol = self._make_protocol(group)
-                self._rest()
+                self._mark_idle()
                 with self._reading:
                     await self._read()
-                if self._reading.cancelled_caught and not self._over:
-                    await self._end_idle()
-                if not self._over:
-                    self._caller_is_gone()
+                if self._reading.cancelled_caught and not self._closed_locally:
+                    await self._refuse_slow_head()
+                if not self._closed_locally:
+                    self._handle_disconnect()
                 elif self._request is not None:
-                    # Refused in the middle of its body: nothing of it will come any more.
+                    # Refused in the middle of its body: the rest of the body will not arrive.
                     self._request.cancel()
         finally:
-            self._resting.pop(self, None)
-            with trio.move_on_after(LINGER_S, shield=True):
+            self._idle_connections.pop(self, None)
+            with trio.move_on_after(LINGER_TIMEOUT_S, shield=True):
                 await self._close()
 
-    def end_if_resting(self) -> None:
-        """Close it, unless a request is open."""
-        if self in self._resting:
-            self._over = True
+    def close_if_idle(self) -> None:
+        """Close the connection, unless a request is open."""
+        if self in self._idle_connections:
+            self._closed_locally = True
             self._reading.cancel()
 
-    def rest_until(self, deadline: float) -> None:
-        """Let it rest no longer than this, by trio's clock."""
-        # Its end is ours then, not the caller's: it is closed and not reset.
-        self._over = True
+    def limit_idle_until(self, deadline: float) -> None:
+        """Close the connection if it is still idle at ``deadline``, by trio's clock."""
+        # The instance ends the connection then, not the caller: it is closed and not reset.
+        self._closed_locally = True
         self._reading.deadline = min(self._reading.deadline, deadline)
 
     @contextmanager
     def open_request(self) -> Iterator[None]:
-        """Cancel what runs inside when the caller has gone."""
+        """Return a context in which a request is served; cancelled when the caller disconnects."""
         with trio.CancelScope() as scope:
             self._request = scope
-            if self._gone:
+            if self._disconnected:
                 scope.cancel()
             yield
         self._request = None
 
-    async def ask_for_body(self) -> None:
-        """Tell a caller that waits for it to send its body."""
-        await self._protocol.ask_for_body()
+    async def send_continue(self) -> None:
+        """Send `100 Continue` if the caller waits for it before sending the body."""
+        await self._protocol.send_continue()
 
     async def flush(self) -> None:
-        """Send the headers of the reply now, without waiting for a part of its body."""
+        """Send the headers of the reply at once, without waiting for a part of its body."""
         await self._protocol.flush()
 
     def _make_protocol(self, group: TaskGroup) -> CallerProtocol:
@@ -164,59 +165,60 @@
             await self._protocol.handle(RawData(data))
             if not data:
                 return
-            if not self._head_began and self._protocol.head_is_unfinished:
-                self._head_began = True
+            if not self._head_started and self._protocol.head_is_unfinished:
+                self._head_started = True
                 self._reading.deadline = trio.current_time() + self._limits.stall_s
 
     async def _send(self, event: Event) -> None:
         if isinstance(event, RawData):
             await self._write(event.data)
         elif isinstance(event, Closed):
-            self._over = True
+            self._closed_locally = True
             self._reading.cancel()
         elif isinstance(event, Updated) and event.idle:
-            self._rest()
+            self._mark_idle()
         elif isinstance(event, Updated):
-            self._resting.pop(self, None)
+            self._idle_connections.pop(self, None)
             self._reading.deadline = float("inf")
 
     async def _write(self, data: bytes) -> None:
-        if self._gone:
+        if self._disconnected:
             return
-        whole = False
+        is_complete = False
         try:
             with (
                 trio.move_on_after(self._limits.stall_s),
                 suppress(OSError, trio.ClosedResourceError),
             ):
                 await self._stream.send_all(data)
-                whole = True
+                is_complete = True
         finally:
-            # Whatever ended the write half-way, nothing may follow what was sent of it.
-            if not whole:
-                self._caller_is_gone()
+            # After an incomplete write nothing more may be sent: the caller would read it as
+            # the continuation.
+            if not is_complete:
+                self._handle_disconnect()
 
-    def _rest(self) -> None:
+    def _mark_idle(self) -> None:
         now = trio.current_time()
-        self._head_began = False
-        self._resting.pop(self, None)
-        self._resting[self] = now
+        self._head_started = False
+        self._idle_connections.pop(self, None)
+        self._idle_connections[self] = now
         self._reading.deadline = now + self._limits.idle_s
 
-    def _caller_is_gone(self) -> None:
-        self._gone = True
+    def _handle_disconnect(self) -> None:
+        self._disconnected = True
         self._reading.cancel()
         if self._request is not None:
             self._request.cancel()
 
-    async def _end_idle(self) -> None:
+    async def _refuse_slow_head(self) -> None:
         if self._protocol.head_is_unfinished:
-            await self._protocol.refuse(slow_head())
+            await self._protocol.refuse(slow_head_refusal())
 
     async def _close(self) -> None:
         try:
-            if self._gone or self._protocol.end_is_ambiguous:
-                # A reply that broke off must not look whole to a caller that waits for the end.
+            if self._disconnected or self._protocol.end_is_ambiguous:
+                # A truncated reply must not look complete to a caller that reads until the end.
                 reset_on_close(self._stream)
             elif self._protocol.has_unread_body:
                 await linger(self._stream)
@@ -225,13 +227,13 @@
 
 
 async def linger(stream: trio.SocketStream) -> None:
-    """End our side, and read what the caller still sends, within bounds."""
+    """Close the sending side, then read and discard what the caller sends, within limits."""
     with suppress(OSError, trio.BrokenResourceError, trio.ClosedResourceError):
         await stream.send_eof()
-        left = LINGER_BYTES
-        with trio.move_on_after(LINGER_S):
-            while left > 0:
+        remaining_bytes = MAX_LINGER_BYTES
+        with trio.move_on_after(LINGER_TIMEOUT_S):
+            while remaining_bytes > 0:
                 data = await stream.receive_some(READ_BYTES)
                 if not data:
                     return
-                left -= len(data)
+                remaining_bytes -= len(data)
--- a/src/wagtailpoint/caller/exchange.py
+++ b/src/wagtailpoint/caller/exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange between the caller and an entry instance, over httpcore."""
+"""HTTP exchanges between the caller and entry instances, with httpcore."""
 
 import math
 import secrets
@@ -12,20 +12,20 @@
 
 Headers = Sequence[tuple[bytes, bytes]]
 
-_FIRST_REFUSED_STATUS = 400
-_MS = 1000
-# Hypercorn closes an idle connection after 5 s; using one just then would lose the request.
-_KEEPALIVE_S = 4.0
+_MIN_REFUSAL_STATUS = 400
+_MS_PER_S = 1000
+# Hypercorn closes an idle connection after 5 s; a request sent at that moment would be lost.
+_KEEPALIVE_TIMEOUT_S = 4.0
 ANSWER_MARGIN_S = 0.25
-ANSWER_MARGIN_PART = 0.15
-"""The entry is told to be done so much earlier (seconds, and at most this part of the remaining
-time) than its answer is waited for."""
+ANSWER_MARGIN_FRACTION = 0.15
+"""The deadline sent to the entry is earlier than the caller's timeout by this many seconds, and at
+most by this fraction of the remaining time."""
 
 _HTTP_ERRORS = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
 
 
 class EntryAddress(NamedTuple):
-    """Where an entry instance listens towards callers."""
+    """The address on which an entry instance listens for callers."""
 
     address: str
     port: int
@@ -35,7 +35,7 @@
 
 
 class Outgoing(NamedTuple):
-    """A request as the caller's user gave it, with the headers that all copies share."""
+    """A request of the application, with the headers that all its copies share."""
 
     method: str
     target: str
@@ -44,19 +44,19 @@
 
 
 class Reply(NamedTuple):
-    """A whole response."""
+    """A complete response."""
 
     status: int
     headers: Headers
     body: bytes
 
 
-class Broken(NamedTuple):
-    """An exchange without a whole response.
+class FailedExchange(NamedTuple):
+    """An exchange without a complete response.
 
     Attributes:
-        sent: A byte of the request may have left.
-        reason: One word.
+        sent: Whether a byte of the request may have been sent.
+        reason: What failed, in one word.
     """
 
     sent: bool
@@ -64,11 +64,11 @@
 
 
 class BrokenReply(Exception):
-    """A response's body ended before its promised end."""
+    """A response is incomplete or belongs to another request."""
 
 
 class OpenReply:
-    """A response whose body is still to be read; ``aclose`` it in any case."""
+    """A response whose body has not been read; ``aclose`` must be called in any case."""
 
     def __init__(self, *, response: httpcore.Response) -> None:
         self._response = response
@@ -87,7 +87,7 @@
         """Read the body.
 
         Raises:
-            BrokenReply: It ended before its promised end.
+            BrokenReply: The body is incomplete.
         """
         try:
             async for chunk in self._response.aiter_stream():
@@ -96,7 +96,7 @@
             raise BrokenReply(type(error).__name__) from error
 
     async def read(self) -> Reply:
-        """Read the whole body and close."""
+        """Read the whole body and close the response."""
         try:
             body = b"".join([chunk async for chunk in self.chunks()])
         finally:
@@ -104,12 +104,12 @@
         return Reply(self.status, self.headers, body)
 
     async def aclose(self) -> None:
-        """Free the connection; it is closed unless the body was read to its end."""
+        """Release the connection, which is closed unless the body was read to its end."""
         await self._response.aclose()
 
 
-class _Sent:
-    """Learns from httpcore whether a byte of the request may have left."""
+class _SendTracker:
+    """Records, by httpcore's trace, whether a byte of the request may have been sent."""
 
     def __init__(self) -> None:
         self._sent = False
@@ -119,19 +119,19 @@
         return self._sent
 
     async def trace(self, event: str, _info: Any) -> None:
-        # `started` comes before the write: from then on the entry may have the request.
+        # `started` precedes the write: from then on the entry may have the request.
         if event.endswith("send_request_headers.started"):
             self._sent = True
 
 
 class Exchanges:
-    """The caller's connections to all entries."""
+    """Sends requests to entries over pooled connections."""
 
     def __init__(self, *, connect_timeout_s: float, idle_timeout_s: float) -> None:
         self._connect_timeout_s = connect_timeout_s
         self._idle_timeout_s = idle_timeout_s
         self._pool = httpcore.AsyncConnectionPool(
-            max_connections=None, keepalive_expiry=_KEEPALIVE_S, retries=0
+            max_connections=None, keepalive_expiry=_KEEPALIVE_TIMEOUT_S, retries=0
         )
 
     async def aclose(self) -> None:
@@ -145,18 +145,18 @@
         *,
         until: float,
         deadline: float | None = None,
-    ) -> Reply | Broken:
-        """Send one copy and read the whole answer, without any retry.
+    ) -> Reply | FailedExchange:
+        """Send one copy of a request and read the whole answer, without retries.
 
         Args:
-            entry: Where to.
-            outgoing: What.
-            until: How long its answer is waited for, by ``trio.current_time``.
-            deadline: What the entry is told; ``until`` if None. It is later where the request
-                shall go on after this copy is no longer waited for.
+            entry: The receiving entry.
+            outgoing: The request.
+            until: End of the wait for the answer, by ``trio.current_time``.
+            deadline: Deadline sent to the entry; ``until`` if None. It is later than ``until`` if
+                the request may go on after the wait for this copy has ended.
         """
-        # The deadline is not set around `open`: it would cut through its own, and with it the
-        # knowledge whether a byte has left.
+        # `open` enforces the deadline itself: a cancel scope around it would discard its result,
+        # and with it whether a byte was sent.
         opened = await self.open(entry, outgoing, until=until, deadline=deadline)
         if not isinstance(opened, OpenReply):
             return opened
@@ -164,8 +164,8 @@
             try:
                 return await opened.read()
             except BrokenReply as broken:
-                return Broken(True, str(broken))
-        return Broken(True, "deadline")
+                return FailedExchange(True, str(broken))
+        return FailedExchange(True, "deadline")
 
     async def open(
         self,
@@ -174,30 +174,30 @@
         *,
         until: float,
         deadline: float | None = None,
-    ) -> OpenReply | Reply | Broken:
-        """Send one copy and wait for the response's headers; a refusal is read whole."""
-        sent = _Sent()
+    ) -> OpenReply | Reply | FailedExchange:
+        """Send one copy and wait for the response's headers; the body of a refusal is read too."""
+        sent = _SendTracker()
         with trio.move_on_at(until):
             try:
                 return await self._open(entry, outgoing, sent, until, deadline or until)
             except _HTTP_ERRORS as error:
-                return Broken(sent.sent, type(error).__name__)
+                return FailedExchange(sent.sent, type(error).__name__)
             except BrokenReply as broken:
-                return Broken(True, str(broken))
-        return Broken(sent.sent, "deadline")
+                return FailedExchange(True, str(broken))
+        return FailedExchange(sent.sent, "deadline")
 
     async def _open(
         self,
         entry: EntryAddress,
         outgoing: Outgoing,
-        sent: _Sent,
+        sent: _SendTracker,
         until: float,
         deadline: float,
     ) -> OpenReply | Reply:
         request_id = secrets.token_hex(8).encode()
         now = trio.current_time()
         remaining_s = max(0.0, until - now)
-        told_s = _told_s(max(0.0, deadline - now))
+        entry_deadline_s = _subtract_answer_margin(max(0.0, deadline - now))
         request = httpcore.Request(
             method=outgoing.method,
             url=httpcore.URL(
@@ -206,7 +206,7 @@
                 port=entry.port,
                 target=outgoing.target.encode(),
             ),
-            headers=_wire_headers(entry, outgoing, request_id, told_s),
+            headers=_wire_headers(entry, outgoing, request_id, entry_deadline_s),
             content=outgoing.body,
             extensions={"trace": sent.trace, "timeout": self._timeouts(remaining_s)},
         )
@@ -214,7 +214,7 @@
         opened = OpenReply(response=response)
         try:
             _check_request_id(response, request_id)
-            if response.status >= _FIRST_REFUSED_STATUS:
+            if response.status >= _MIN_REFUSAL_STATUS:
                 return await opened.read()
         except BaseException:
             await opened.aclose()
@@ -229,36 +229,36 @@
         }
 
 
-def _told_s(remaining_s: float) -> float:
-    # A refusal that is decided at the deadline would come when nobody waits for it any more, and
-    # its caller would have to take the request as one that may have run.
-    return remaining_s - min(ANSWER_MARGIN_S, ANSWER_MARGIN_PART * remaining_s)
+def _subtract_answer_margin(remaining_s: float) -> float:
+    # A refusal that is decided at the deadline would arrive after the end of the caller's wait, and
+    # the caller would have to assume that the request may have run.
+    return remaining_s - min(ANSWER_MARGIN_S, ANSWER_MARGIN_FRACTION * remaining_s)
 
 
 def _wire_headers(
     entry: EntryAddress, outgoing: Outgoing, request_id: bytes, remaining_s: float
 ) -> list[tuple[bytes, bytes]]:
     # Rounded up: a deadline of 0 would be refused.
-    deadline_ms = str(math.ceil(remaining_s * _MS)).encode()
-    wire = [
+    deadline_ms = str(math.ceil(remaining_s * _MS_PER_S)).encode()
+    wire_headers = [
         (b"host", str(entry).encode()),
         (headers.DEADLINE_MS, deadline_ms),
         (headers.REQUEST_ID, request_id),
         *outgoing.headers,
     ]
     if outgoing.body:
-        wire.append((b"content-length", str(len(outgoing.body)).encode()))
-    return wire
+        wire_headers.append((b"content-length", str(len(outgoing.body)).encode()))
+    return wire_headers
 
 
-def _check_request_id(response: httpcore.Response, asked: bytes) -> None:
-    # An answer to another request on our connection (crossed, or late after a timeout) would be
-    # taken for ours: one workspace would read another's certificate.
-    answered = find_header(response.headers, headers.REQUEST_ID)
-    if answered is not None and answered != asked:
+def _check_request_id(response: httpcore.Response, expected_id: bytes) -> None:
+    # An answer to another request on this connection (crossed, or late after a timeout) would be
+    # taken for this one's: a workspace could read another's data.
+    response_id = find_header(response.headers, headers.REQUEST_ID)
+    if response_id is not None and response_id != expected_id:
         raise BrokenReply("crossed-answer")
 
 
-def find_header(of: Headers, name: bytes) -> bytes | None:
+def find_header(header_fields: Headers, name: bytes) -> bytes | None:
     """Return a header's value; ``name`` in lower case."""
-    return next((value for key, value in of if key.lower() == name), None)
+    return next((value for key, value in header_fields if key.lower() == name), None)
--- a/src/wagtailpoint/cli/options.py
+++ b/src/wagtailpoint/cli/options.py
@@ -1,4 +1,4 @@
-"""The options that commands have in common, and the running of a command."""
+"""The options that commands share, and the code that runs a command."""
 
 import functools
 from collections.abc import Awaitable, Callable
@@ -28,32 +28,36 @@
         multiple=True,
         type=AddressType(),
         metavar="ADDRESS:PORT",
-        help="A server of the platform's object API; may be repeated.",
+        help="Address of a server of the platform's object API; may be repeated.",
     ),
     click.option(
         "--entry",
         multiple=True,
         type=AddressType(),
         metavar="ADDRESS:PORT",
-        help="An entry instance to ask; may be repeated, the others are learnt from it.",
+        help="Address of an entry instance, which also names the others; may be repeated.",
     ),
     click.option(
         "--profile",
         type=click.Path(path_type=Path),
         envvar=PROFILE_VARIABLE,
         show_envvar=True,
-        help="A JSON file with platform, entries and author.",
+        help="JSON file with platform, entries and author.",
     ),
     click.option("--json", "as_json", is_flag=True, help="Print one JSON document."),
 )
 
 _CHANGE_OPTIONS = (
-    click.option("--author", envvar=AUTHOR_VARIABLE, show_envvar=True, help="Who changes it."),
-    click.option("-m", "--message", default="", help="Why; shown in the history."),
+    click.option(
+        "--author", envvar=AUTHOR_VARIABLE, show_envvar=True, help="Author of the change."
+    ),
+    click.option(
+        "-m", "--message", default="", help="Reason for the change, shown in the history."
+    ),
     click.option(
         "--base-version",
         type=click.IntRange(min=0),
-        help="The version that you looked at: later changes of the same objects are a conflict.",
+        help="Version that the change is based on; later changes of its objects are a conflict.",
     ),
     click.option("--wait", is_flag=True, help="Wait until every live instance enforces it."),
     click.option(
@@ -62,13 +66,16 @@
         default=ChangeOptions().wait_timeout_s,
         show_default=True,
         metavar="SECONDS",
-        help="How long to wait.",
+        help="Longest time to wait, in seconds.",
     ),
 )
 
 
 def run_command(function: Command) -> Callable[..., None]:
-    """Turn an async function into a command: it gets a session and its outcome is printed."""
+    """Turn an async function into a command.
+
+    The function receives a session; its report or error is printed and sets the exit code.
+    """
 
     @functools.wraps(function)
     def run(
@@ -80,7 +87,7 @@
         **arguments: Any,
     ) -> None:
         tools = click.get_current_context().find_object(Tools) or Tools()
-        found = _profile(profile, platform, entry)
+        found = _load_profile(profile, platform, entry)
         if isinstance(found, Err):
             _fail(found.err_value, as_json)
         session = Session(profile=found.ok_value, tools=tools)
@@ -94,12 +101,12 @@
         click.echo(format_json(report.data) if as_json else report.text)
         raise SystemExit(int(report.exit_code))
 
-    decorated: Callable[..., None] = _decorate(run, _SESSION_OPTIONS)
+    decorated: Callable[..., None] = _add_options(run, _SESSION_OPTIONS)
     return decorated
 
 
 def with_change_options(function: Command) -> Command:
-    """Add the options of a change; the function gets them as ``options``."""
+    """Add the options of a change, which the function receives as ``options``."""
 
     @functools.wraps(function)
     async def call(
@@ -115,20 +122,20 @@
         options = ChangeOptions(author, message, base_version, wait, wait_timeout)
         return await function(session, options=options, **arguments)
 
-    decorated: Command = _decorate(call, _CHANGE_OPTIONS)
+    decorated: Command = _add_options(call, _CHANGE_OPTIONS)
     return decorated
 
 
-def _decorate(function: Any, options: tuple[Callable[[Any], Any], ...]) -> Any:
+def _add_options(function: Any, options: tuple[Callable[[Any], Any], ...]) -> Any:
     for option in reversed(options):
         function = option(function)
     return function
 
 
-def _profile(
+def _load_profile(
     path: Path | None, platform: tuple[EntryAddress, ...], entries: tuple[EntryAddress, ...]
 ) -> Result[Profile, InvalidInput]:
-    """The profile file, with the command line before it."""
+    """Read the profile file, if any; addresses on the command line take precedence."""
 
     def override(profile: Profile) -> Profile:
         servers = tuple(PlatformAddress(*address) for address in platform)
--- a/src/wagtailpoint/daemon/api.py
+++ b/src/wagtailpoint/daemon/api.py
@@ -1,4 +1,4 @@
-"""The instance's own pages: lookup for callers; status, metrics and time line for operators."""
+"""HTTP API of an instance: lookup for callers; status, metrics and timeline for operators."""
 
 import math
 from collections.abc import Awaitable, Callable, Mapping
@@ -18,19 +18,19 @@
 
 PREFIX = "/v1/"
 JSON = b"application/json"
-READING_METHODS = ("GET", "HEAD")
+READ_METHODS = ("GET", "HEAD")
 
 Query = Mapping[str, str]
 
 
 class Page(NamedTuple):
-    """The answer of one of the instance's own pages.
+    """The response of one API page.
 
     Attributes:
         status: HTTP status.
-        value: Is sent as JSON; bytes are sent as they are.
-        retry_after_s: When to come back after a refusal, in seconds.
-        content_type: Its media type.
+        value: Body, encoded as JSON; bytes are sent unchanged.
+        retry_after_s: Seconds after which a refused caller may retry; None to give no hint.
+        content_type: Media type of the body.
     """
 
     status: int
@@ -40,7 +40,7 @@
 
 
 class _Encoded(NamedTuple):
-    """A page as it is sent."""
+    """A page encoded for sending."""
 
     status: int
     headers: Headers
@@ -53,34 +53,34 @@
 
 
 def refusal_page(refusal: Refusal) -> Page:
-    """A refusal as a page."""
+    """Return the page that reports a refusal."""
     return Page(refusal.status, msgspec.Raw(refusal.body()), refusal.retry_after_s)
 
 
-def bad_query(reason: str) -> Page:
-    """What a page answers to a wrong query."""
+def bad_query_page(reason: str) -> Page:
+    """Return the page that reports an invalid method, path or query."""
     return refusal_page(
         refuse(HTTPStatus.BAD_REQUEST, RefusalCode.BAD_REQUEST, reason, BAD_REQUEST_RETRY_AFTER_S)
     )
 
 
-class OwnPages:
-    """Serves everything under ``/v1/``."""
+class ApiRouter:
+    """Routes requests under ``/v1/`` to their page handlers."""
 
     def __init__(
         self, *, pages: Mapping[str, PageHandler], quick: Mapping[str, QuickPage] | None = None
     ) -> None:
-        """Make the pages.
+        """Initialise the router.
 
         Args:
-            pages: By name, for example ``status``.
-            quick: Those that are answered at once, by name.
+            pages: Asynchronous handlers by page name, for example ``status``.
+            quick: Synchronous handlers by page name.
         """
         self._pages = pages
         self._quick = {f"{PREFIX}{name}".encode(): page for name, page in (quick or {}).items()}
 
     def answer(self, target: bytes, headers: Headers) -> QuickReply | None:
-        """Answer a GET at once, if its page is among the quick ones."""
+        """Answer a GET synchronously; None if the path has no synchronous handler."""
         path, _, query = target.partition(b"?")
         page = self._quick.get(path)
         if page is None:
@@ -91,15 +91,15 @@
         return QuickReply(value.status, sent, value.body)
 
     async def serve(self, request: CallerRequest, sink: ReplySink) -> None:
-        """Answer one request."""
+        """Answer a request to any page, or refuse it if the page or method is unknown."""
         path, _, query = request.target.partition("?")
         name = path.removeprefix(PREFIX)
         handler = self._pages.get(name)
         quick = self._quick.get(path.encode())
-        if request.method not in READING_METHODS or (handler is None and quick is None):
+        if request.method not in READ_METHODS or (handler is None and quick is None):
             known = sorted([*self._pages, *(key.decode()[len(PREFIX) :] for key in self._quick)])
-            expected = ", ".join(f"GET {PREFIX}{each}" for each in known)
-            page = bad_query(f"given {request.method} {path[:80]}, expected one of {expected}")
+            expected = ", ".join(f"GET {PREFIX}{page_name}" for page_name in known)
+            page = bad_query_page(f"given {request.method} {path[:80]}, expected one of {expected}")
         elif handler is not None:
             page = await handler(_parse_query(query))
         elif quick is not None:
--- a/src/wagtailpoint/daemon/draining.py
+++ b/src/wagtailpoint/daemon/draining.py
@@ -1,4 +1,4 @@
-"""What is left to do of each drain, as this instance sees it."""
+"""Progress of each drain, as this instance sees it."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -8,12 +8,12 @@
 
 
 class DrainStatus(NamedTuple):
-    """A drain on the status page.
+    """Progress of a drain, as the status page shows it.
 
     Attributes:
-        name: Its name.
-        backend_servers: What it covers.
-        in_flight: Requests that this instance still has there, downloads included.
+        name: Name of the drain.
+        backend_servers: Addresses of the backend servers that it covers.
+        in_flight: Requests from this instance that are open at them, downloads included.
     """
 
     name: str
@@ -22,13 +22,13 @@
 
 
 def drain_status(
-    config: EffectiveConfig, held_of: Callable[[BackendServer], int]
+    config: EffectiveConfig, count_held: Callable[[BackendServer], int]
 ) -> list[DrainStatus]:
-    """All drains.
+    """Return the progress of all drains.
 
     Args:
         config: The configuration in force.
-        held_of: Counts the slots of a backend server that this instance holds.
+        count_held: Returns how many slots of a backend server this instance holds.
     """
     servers = {
         server
@@ -36,14 +36,14 @@
         for group in service.groups.values()
         for server in group
     }
-    found = []
+    statuses = []
     for drain in config.drains.values():
         covered = sorted(server for server in servers if is_drained(server, [drain]))
-        found.append(
+        statuses.append(
             DrainStatus(
                 name=drain.name,
                 backend_servers=[str(server.address) for server in covered],
-                in_flight=sum(held_of(server) for server in covered),
+                in_flight=sum(count_held(server) for server in covered),
             )
         )
-    return found
+    return statuses
--- a/src/wagtailpoint/daemon/metrics_page.py
+++ b/src/wagtailpoint/daemon/metrics_page.py
@@ -1,4 +1,4 @@
-"""The page of metrics: JSON for programs of ours, text for Prometheus."""
+"""The metrics page, as JSON for the command line and as text for Prometheus."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any, NamedTuple
@@ -10,14 +10,14 @@
 from wagtailpoint.ports.peers import PeerCounts, Traffic
 
 
-class Measured(NamedTuple):
-    """Everything that is measured.
+class MetricsSnapshot(NamedTuple):
+    """All metrics at one moment.
 
     Attributes:
-        counts: By name.
-        latencies: With their percentiles.
-        peers: What went over the links.
-        gauges: Values of this moment by name, for example ``open_requests``.
+        counts: Event counts by name.
+        latencies: Latency summaries with their percentiles.
+        peers: Counts of messages to and from peers.
+        gauges: Current values by name, for example ``open_requests``.
     """
 
     counts: Mapping[str, int]
@@ -26,22 +26,28 @@
     gauges: Mapping[str, float]
 
 
-async def measure(metrics: Metrics, peers: PeerCounts, gauges: Mapping[str, float]) -> Measured:
-    """Gather everything, without keeping the callers waiting for the percentiles of all."""
+async def collect_metrics(
+    metrics: Metrics, peers: PeerCounts, gauges: Mapping[str, float]
+) -> MetricsSnapshot:
+    """Collect all metrics.
+
+    Yields to other tasks after each summary, as computing all percentiles at once would delay
+    callers.
+    """
     latencies = []
-    for each in metrics.latencies():
-        latencies.append(each)
+    for latency in metrics.latencies():
+        latencies.append(latency)
         await trio.lowlevel.checkpoint()
-    return Measured(dict(metrics.counts), latencies, peers, gauges)
+    return MetricsSnapshot(dict(metrics.counts), latencies, peers, gauges)
 
 
-def metrics_json(measured: Measured) -> dict[str, Any]:
-    """Everything that is measured, as a JSON value."""
-    peers = measured.peers
+def metrics_json(snapshot: MetricsSnapshot) -> dict[str, Any]:
+    """Return a snapshot as a JSON value."""
+    peers = snapshot.peers
     return {
-        "gauges": dict(measured.gauges),
-        "counts": dict(measured.counts),
-        "latencies": [{**key._asdict(), **summary} for key, summary in measured.latencies],
+        "gauges": dict(snapshot.gauges),
+        "counts": dict(snapshot.counts),
+        "latencies": [{**key._asdict(), **summary} for key, summary in snapshot.latencies],
         "peers": {
             "sent": _traffic_fields(peers.sent),
             "received": _traffic_fields(peers.received),
@@ -50,16 +56,16 @@
     }
 
 
-def metrics_text(measured: Measured) -> bytes:
-    """Everything that is measured, for Prometheus."""
+def metrics_text(snapshot: MetricsSnapshot) -> bytes:
+    """Return a snapshot in the Prometheus text format."""
     families = [
         Family(f"wagtailpoint_{name}", "gauge", "Now.", [Sample({}, value)])
-        for name, value in measured.gauges.items()
+        for name, value in snapshot.gauges.items()
     ]
-    counts = [Sample({"event": name}, number) for name, number in measured.counts.items()]
+    counts = [Sample({"event": name}, number) for name, number in snapshot.counts.items()]
     families.append(Family("wagtailpoint_events_total", "counter", "Events by name.", counts))
-    families += _latency_families(measured.latencies)
-    families += _peer_families(measured.peers)
+    families += _latency_families(snapshot.latencies)
+    families += _peer_families(snapshot.peers)
     return format_text(families)
 
 
--- a/src/wagtailpoint/daemon/moving.py
+++ b/src/wagtailpoint/daemon/move_tasks.py
@@ -1,4 +1,4 @@
-"""The moves of one instance: what it knows, follows and, if it has the lease, writes."""
+"""Tasks of an instance for moves: share their progress, and write it while holding the lease."""
 
 from collections.abc import Callable
 from random import Random
@@ -18,11 +18,11 @@
 from wagtailpoint.ports.platform import Platform
 from wagtailpoint.settings import Timings
 
-CLEANING_S: Final = 10.0
+CLEANUP_INTERVAL_S: Final = 10.0
 
 
-class Moving:
-    """Runs everything about moves."""
+class MoveTasks:
+    """Runs the gossip, the writer and the cleaner of move progress."""
 
     def __init__(
         self,
@@ -34,34 +34,34 @@
         health: HealthBoard,
         clock: Clock,
         lease: WriterLease,
-        watching: Callable[[], bool],
+        is_watching: Callable[[], bool],
         timings: Timings,
     ) -> None:
-        """Put it together.
+        """Initialise the tasks.
 
         Args:
-            board: What this instance knows of the moves.
-            platform: Where their progress is.
-            peers: Carry news of it.
-            membership: Who the peers are.
-            health: Has the backend servers' reports.
-            clock: Of this instance.
-            lease: Makes one instance the only writer.
-            watching: Whether this instance is one of the few of its failure domain that follow
-                the platform.
-            timings: Of the settings.
+            board: State of the moves, as this instance knows it.
+            platform: Stores the progress of moves.
+            peers: Links to the peers, for gossip about progress.
+            membership: The instances that are known.
+            health: Holds the load reports of backend servers.
+            clock: Clock of this instance.
+            lease: Ensures that only one instance writes progress.
+            is_watching: Whether this instance is one of those in its failure domain that watch the
+                platform.
+            timings: Timings from the settings.
         """
         self._membership = membership
         self._health = health
         self._interval_s = timings.move_interval_s
         self._config: EffectiveConfig | None = None
         self._board = board
-        self._newsroom = MoveGossip(
+        self._gossip = MoveGossip(
             platform=platform,
             peers=peers,
             board=board,
             others=self._membership.others,
-            is_watching=watching,
+            is_watching=is_watching,
             wait_s=timings.watch_wait_s,
             random=Random(),
         )
@@ -72,22 +72,22 @@
             lease=lease,
             lease_s=timings.moves_lease_s,
             own=peers.address,
-            is_eligible=lambda: watching() and membership.own.state == "live",
-            count_receiving_servers=self._receiving,
+            is_eligible=lambda: is_watching() and membership.own.state == "live",
+            count_receiving_servers=self._count_receiving_servers,
         )
         self._cleaner = ProgressCleaner(
             platform=platform, board=board, is_writing=lambda: self._writer.is_writing
         )
 
     def apply(self, config: EffectiveConfig) -> None:
-        """Follow another configuration."""
+        """Apply a new configuration."""
         self._config = config
         self._board.apply(config)
 
     async def run(self) -> None:
-        """Run until cancelled."""
+        """Run all tasks until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._newsroom.run)
+            nursery.start_soon(self._gossip.run)
             nursery.start_soon(self._write)
             nursery.start_soon(self._clean)
 
@@ -96,15 +96,15 @@
 
     async def _clean(self) -> None:
         while True:
-            await trio.sleep(CLEANING_S)
+            await trio.sleep(CLEANUP_INTERVAL_S)
             await self._cleaner.step()
 
-    def _receiving(self, move: Move) -> tuple[int, int]:
+    def _count_receiving_servers(self, move: Move) -> tuple[int, int]:
         config = self._config
         if config is None:
             return 0, 0
         group = config.services[move.service].groups[move.to_group]
-        staying = [one for one in group if not is_drained(one, config.drains.values())]
-        reports = [self._health.report_of(server.address) for server in staying]
+        undrained = [server for server in group if not is_drained(server, config.drains.values())]
+        reports = [self._health.report_of(server.address) for server in undrained]
         cold = sum(report is not None and not report.warm for report in reports)
-        return len(staying), cold
+        return len(undrained), cold
--- a/src/wagtailpoint/daemon/settings_file.py
+++ b/src/wagtailpoint/daemon/settings_file.py
@@ -1,4 +1,4 @@
-"""The settings file while the process runs: read again when it changes."""
+"""Reloads the settings file of a running instance when the file changes."""
 
 import signal
 from collections.abc import Callable
@@ -12,15 +12,15 @@
 from wagtailpoint.node_settings import NodeSettings, ServiceBounds
 from wagtailpoint.observe.log import log_event
 
-LOOK_INTERVAL_S: Final = 2.0
-"""How often the file is compared with what was read last: it may change without any signal."""
+POLL_INTERVAL_S: Final = 2.0
+"""The file may change without a signal, so it is also polled."""
 
-FOLLOWED: Final = frozenset(("bounds",))
-"""The fields that hold at once; the others (addresses, places) hold from the next start."""
+RELOADABLE_FIELDS: Final = frozenset(("bounds",))
+"""The fields that apply at once; the others (addresses, places) apply from the next start."""
 
 
 class SettingsFile:
-    """Follows the settings file, and holds the newest bounds."""
+    """Follows the settings file and provides the newest bounds."""
 
     def __init__(
         self,
@@ -29,53 +29,53 @@
         settings: NodeSettings,
         read: Callable[[Path], Result[NodeSettings, InvalidInput]],
     ) -> None:
-        """Make it with what was read at the start.
+        """Initialise with the settings that were read at the start.
 
         Args:
-            path: The file.
-            settings: What it said at the start.
-            read: Reads it.
+            path: Path of the settings file.
+            settings: The settings that were read at the start.
+            read: Reads and checks a settings file.
         """
         self._path = path
         self._settings = settings
         self._read = read
-        self._mistakes = ""
+        self._last_mistakes = ""
 
     @property
     def bounds(self) -> ServiceBounds:
-        """What the operators demand now."""
+        """The operators' bounds that are in force."""
         return self._settings.bounds
 
     async def run(self) -> None:
-        """Read the file again on SIGHUP and when it changed, until cancelled."""
+        """Reload the file on SIGHUP and periodically, until cancelled."""
         with trio.open_signal_receiver(signal.SIGHUP) as signals:
             while True:
-                told = False
-                with trio.move_on_after(LOOK_INTERVAL_S):
+                signalled = False
+                with trio.move_on_after(POLL_INTERVAL_S):
                     await anext(signals)
-                    told = True
-                self.look(told=told)
+                    signalled = True
+                self.reload(signalled=signalled)
 
-    def look(self, *, told: bool) -> None:
-        """Read the file; a wrong one changes nothing.
+    def reload(self, *, signalled: bool) -> None:
+        """Read the file; keep the settings in force if it is invalid.
 
         Args:
-            told: By a signal; then it is logged also if nothing changed.
+            signalled: Whether SIGHUP requested it; the result is then always logged.
         """
         read = self._read(self._path)
         if isinstance(read, Err):
             mistakes = str(read.err_value)
-            if told or mistakes != self._mistakes:
+            if signalled or mistakes != self._last_mistakes:
                 log_event("reload-refused", level="ERROR", error=mistakes)
-            self._mistakes = mistakes
+            self._last_mistakes = mistakes
             return
-        self._mistakes = ""
-        before, self._settings = self._settings, read.ok_value
+        self._last_mistakes = ""
+        previous, self._settings = self._settings, read.ok_value
         changed = [
             name
             for name in NodeSettings._fields
-            if getattr(before, name) != getattr(self._settings, name)
+            if getattr(previous, name) != getattr(self._settings, name)
         ]
-        if changed or told:
-            waiting = [name for name in changed if name not in FOLLOWED]
-            log_event("reload", changed=",".join(changed), from_next_start=",".join(waiting))
+        if changed or signalled:
+            deferred = [name for name in changed if name not in RELOADABLE_FIELDS]
+            log_event("reload", changed=",".join(changed), from_next_start=",".join(deferred))
--- a/src/wagtailpoint/daemon/store_state.py
+++ b/src/wagtailpoint/daemon/store_state.py
@@ -1,4 +1,4 @@
-"""What the store says, in force on this instance: routes, backend servers, evacuations."""
+"""Applies routes, backend servers and evacuations from the store on this instance."""
 
 from collections.abc import Callable, Mapping
 from typing import NamedTuple
@@ -15,39 +15,40 @@
 
 
 class StoreState:
-    """Puts what the followers learn in force."""
+    """Decodes the objects that followers read, and puts them in force."""
 
-    def __init__(self, *, fleet: Fleet, on_gone: Callable[[ServerStart], None]) -> None:
-        """Make it without any configuration.
+    def __init__(self, *, fleet: Fleet, on_removed: Callable[[ServerStart], None]) -> None:
+        """Initialise without a configuration.
 
         Args:
-            fleet: The backend servers.
-            on_gone: Called with each backend server that is gone, or has started again.
+            fleet: The backend servers known to this instance.
+            on_removed: Called with each start of a backend server that ended, because the entry was
+                removed or the backend server restarted.
         """
         self._fleet = fleet
-        self._on_gone = on_gone
+        self._on_removed = on_removed
         self._table: RouteTable | None = None
-        self._config_read = True
+        self._is_config_readable = True
         self._decoded: dict[str, _Decoded] = {}
         self._heartbeats = NewestHeartbeats()
 
     @property
     def table(self) -> RouteTable | None:
-        """The routes in force; None before the first configuration."""
+        """The route table in force; None before the first configuration."""
         return self._table
 
     @property
-    def config_read(self) -> bool:
-        """Whether the newest configuration could be read, and so is the one in force."""
-        return self._config_read
+    def is_config_readable(self) -> bool:
+        """Whether the newest configuration could be decoded and therefore is in force."""
+        return self._is_config_readable
 
     def apply_config(self, objects: Mapping[str, StoredObject]) -> None:
-        """Put a newer configuration in force; an older or an unreadable one changes nothing."""
+        """Put a newer configuration in force; ignore an older or unreadable one."""
         stored = objects.get(CONFIG_NAME)
         if stored is None:
             return
         decoded = decode_config(stored)
-        self._config_read = not isinstance(decoded, Err)
+        self._is_config_readable = not isinstance(decoded, Err)
         if isinstance(decoded, Err):
             log_event("config-unreadable", level="ERROR", error=decoded.err_value)
             return
@@ -64,39 +65,39 @@
 
     @property
     def unusable_entries(self) -> int:
-        """Entries that name no backend server, as they can't be read."""
-        return sum(each.found is None for each in self._decoded.values())
+        """The number of entries that can't be decoded, and so stand for no backend server."""
+        return sum(decoded.server is None for decoded in self._decoded.values())
 
     def apply_servers(self, objects: Mapping[str, StoredObject]) -> None:
-        """Take in the entries of all backend servers; those that can't be read name none.
+        """Apply the entries of all backend servers; unreadable ones stand for no backend server.
 
-        Only what has changed is looked at: one of hundreds does many times a second, and each time
-        all instances hear of it.
+        Decodes only the entries that changed. One of hundreds changes many times a second, and
+        every change reaches all instances.
         """
-        gone = self._decoded.keys() - objects.keys()
-        changed = [stored for stored in objects.values() if self._is_news(stored)]
-        for name in gone:
+        removed = self._decoded.keys() - objects.keys()
+        changed = [stored for stored in objects.values() if self._has_changed(stored)]
+        for name in removed:
             del self._decoded[name]
         entries = []
         for stored in changed:
-            found = self._decode(stored)
-            self._decoded[stored.name] = _Decoded(stored.version, found)
-            if found is None:
-                gone.add(stored.name)
+            server = self._decode(stored)
+            self._decoded[stored.name] = _Decoded(stored.version, server)
+            if server is None:
+                removed.add(stored.name)
             else:
-                entries.append(self._heartbeats.newest(found))
+                entries.append(self._heartbeats.newest(server))
         known = self._fleet.entries
         for start in self._fleet.apply_changes(
-            entries, gone=[name for name in gone if name in known]
+            entries, gone=[name for name in removed if name in known]
         ):
-            self._on_gone(start)
+            self._on_removed(start)
 
     def apply_evacuations(self, objects: Mapping[str, StoredObject]) -> None:
-        """Send nothing to the failure domains that are named."""
+        """Send no requests to the failure domains that are to be evacuated."""
         services = self._table.services if self._table is not None else {}
         self._fleet.evacuate(frozenset(objects), services)
 
-    def _is_news(self, stored: StoredObject) -> bool:
+    def _has_changed(self, stored: StoredObject) -> bool:
         known = self._decoded.get(stored.name)
         return known is None or known.version != stored.version
 
@@ -109,7 +110,7 @@
 
 
 class _Decoded(NamedTuple):
-    """What an entry says at a version; nothing if it can't be read."""
+    """An entry decoded at a version; without a server if it is unreadable."""
 
     version: int
-    found: RegisteredServer | None
+    server: RegisteredServer | None
--- a/src/wagtailpoint/daemon/workspace_rules.py
+++ b/src/wagtailpoint/daemon/workspace_rules.py
@@ -1,4 +1,4 @@
-"""What holds for workspaces on an instance: their keys, as far as proved, and their allowances."""
+"""Enforcement of workspace rules on an instance: API keys and rate allowances."""
 
 from collections.abc import Callable, Mapping
 from random import Random
@@ -23,7 +23,7 @@
 
 
 class WorkspaceRules:
-    """The proof of the configuration, the check of keys and the allowances, wired together."""
+    """Combines the freshness proof of the configuration, the key check and the allowances."""
 
     def __init__(
         self,
@@ -38,18 +38,18 @@
         clock: Clock,
         random: Random,
     ) -> None:
-        """Wire the parts.
+        """Construct the parts.
 
         Args:
-            state: The configuration in force.
-            bounds: What the operators demand.
+            state: Holds the configuration in force.
+            bounds: Returns the operators' bounds.
             region_of: The region of every failure domain.
-            platform: The store.
-            peers: The links to the others.
-            membership: Who is there.
-            is_entry: Whether callers are told to use this instance.
-            clock: Must count suspension.
-            random: For the jitter.
+            platform: The object store.
+            peers: Links to the other instances.
+            membership: The instances that are known.
+            is_entry: Whether lookups name this instance as an entry.
+            clock: Its monotonic time has to advance while the machine is suspended.
+            random: Source of the jitter.
         """
         self._state = state
         self._bounds = bounds
@@ -83,17 +83,22 @@
             is_entry=is_entry,
             random=random,
         )
-        self._allowances_of: RouteTable | None = None
+        self._allowances_table: RouteTable | None = None
         self._known_allowances: Mapping[str, Allowance | None] = {}
 
-    def prove(self, follower: KindFollower, *, is_watcher: Callable[[], bool]) -> None:
-        """Tell what follows the configuration, and whether the others of the region ask here."""
+    def set_follower(self, follower: KindFollower, *, is_watcher: Callable[[], bool]) -> None:
+        """Set what ``run`` needs to prove that the configuration is fresh.
+
+        Args:
+            follower: Follows the configuration.
+            is_watcher: Whether this instance watches the store for its region.
+        """
         self._follower = follower
         self._is_watcher = is_watcher
 
     @property
     def gauges(self) -> dict[str, float]:
-        """Values of this moment, for the metrics."""
+        """The current values of the gauges."""
         return {
             "config_age_seconds": min(self.freshness.age_s, 1e6),
             "workspaces": len(self._allowances()),
@@ -101,13 +106,13 @@
         }
 
     async def run(self) -> None:
-        """Keep proof and slots until cancelled.
+        """Renew the freshness proof and the allowance slots until cancelled.
 
         Raises:
-            ValueError: Nothing follows the configuration yet.
+            ValueError: ``set_follower`` was not called.
         """
         if self._follower is None:
-            raise ValueError("follower: given None, expected one from `prove`")
+            raise ValueError("follower: given None, expected one from `set_follower`")
         confirmation = self._confirmation = Confirmation(
             follower=self._follower,
             platform=self._platform,
@@ -121,19 +126,19 @@
             nursery.start_soon(self._slots.run)
             nursery.start_soon(self.allowances.run)
 
-    def note_change(self) -> None:
-        """What the store says has changed."""
+    def record_change(self) -> None:
+        """Record that objects in the store have changed."""
         self._slots.record_config_change()
         if self._confirmation is not None:
             self._confirmation.on_config_change()
 
-    async def give_up(self) -> None:
-        """Let others have the slots, before this instance leaves."""
+    async def release_slots(self) -> None:
+        """Release the allowance slots to other instances before this instance leaves."""
         await self._slots.release()
 
     def _version(self) -> int:
-        """The version of the configuration in force; 0 if the newest one could not be read."""
-        if self._follower is None or not self._state.config_read:
+        """Return the version in force; 0 if the newest configuration could not be decoded."""
+        if self._follower is None or not self._state.is_config_readable:
             return 0
         return self._follower.state.version
 
@@ -144,11 +149,13 @@
 
     def _allowances(self) -> Mapping[str, Allowance | None]:
         table = self._state.table
-        if table is not self._allowances_of:
-            self._allowances_of = table
-            found = (table.workspaces or {}).values() if table is not None else ()
-            self._known_allowances = {each.name: each.allowance for each in found}
+        if table is not self._allowances_table:
+            self._allowances_table = table
+            workspaces = (table.workspaces or {}).values() if table is not None else ()
+            self._known_allowances = {
+                workspace.name: workspace.allowance for workspace in workspaces
+            }
         return self._known_allowances
 
     def _has_allowances(self) -> bool:
-        return any(each is not None for each in self._allowances().values())
+        return any(workspace is not None for workspace in self._allowances().values())
--- a/tests/cover/test_store_state.py
+++ b/tests/cover/test_store_state.py
@@ -1,4 +1,4 @@
-"""What the store says, put in force: entries of others than backend servers disturb nothing."""
+"""Applying server entries from the store, unreadable and outdated ones included."""
 
 import unittest
 from unittest.mock import patch
@@ -22,12 +22,12 @@
         logger.disable("wagtailpoint")
         self.addCleanup(logger.enable, "wagtailpoint")
         self.fleet = Fleet(region_of=REGION_OF)
-        self.gone: list[ServerStart] = []
-        self.state = StoreState(fleet=self.fleet, on_gone=self.gone.append)
+        self.removed: list[ServerStart] = []
+        self.state = StoreState(fleet=self.fleet, on_removed=self.removed.append)
         self.version = 0
 
     def apply(self, **values) -> list[str]:
-        """Put entries in force, each a document or what stands in its place; who is used then."""
+        """Apply entries, each a document or an invalid value; return the ids of the candidates."""
 
         async def apply() -> None:
             self.version += 1
@@ -39,31 +39,31 @@
             )
 
         trio.run(apply, clock=MockClock())
-        return [each.entry.server_id for each in self.fleet.candidates("desk")]
+        return [candidate.entry.server_id for candidate in self.fleet.candidates("desk")]
 
     def server(self, **changes):
         return server_document("10.1.2.3:80") | changes
 
-    def test_entry_of_another_writer_names_none_and_disturbs_none(self) -> None:
-        """Symptom: requests are sent to what an entry named before somebody wrote over it.
+    def test_invalid_entry_removes_only_its_backend_server(self) -> None:
+        """Guards against requests to the former backend server of an overwritten entry.
 
-        Sequence: an entry is written over with something else. Cause: the last one that could be
-        read stayed in use.
+        Sequence: an entry is overwritten with an invalid value. Cause: its last readable value
+        stays in use.
         """
         self.assertEqual(self.apply(i_1=self.server(), i_2=self.server()), ["i_1", "i_2"])
-        garbage: object
-        for garbage in (None, 7, "\ufffd\x00", [], {}, self.server(State="resting")):
-            self.assertEqual(self.apply(i_1=garbage, i_2=self.server()), ["i_2"])
+        invalid: object
+        for invalid in (None, 7, "\ufffd\x00", [], {}, self.server(State="resting")):
+            self.assertEqual(self.apply(i_1=invalid, i_2=self.server()), ["i_2"])
             self.assertEqual(self.state.unusable_entries, 1)
         self.assertEqual(self.apply(i_1=self.server(), i_2=self.server()), ["i_1", "i_2"])
         self.assertEqual(self.state.unusable_entries, 0)
 
-    def test_one_change_of_hundreds_is_one_piece_of_work(self) -> None:
-        """Symptom: a troubled day of 195 instances takes a fifth more processor time than it needs.
+    def test_one_changed_entry_causes_one_decoding(self) -> None:
+        """Guards against decoding all entries and sorting all candidates at each change.
 
-        Sequence: backend servers come and go, several a second, and all instances hear of each.
-        Cause: each time all entries were looked at, and all candidates sorted, also by the
-        instances that get no requests.
+        Failure: 195 instances use a fifth more processor time than needed. Sequence: backend
+        servers come and go several times a second, and every change reaches all instances. Cause:
+        each change costs work for all entries, even on instances that get no requests.
         """
         documents = {f"i_{n}": self.server(Sequence=n) for n in range(400)}
         objects = {
@@ -84,13 +84,13 @@
             del objects["i_9"]
             self.state.apply_servers({**objects, "i_7": changed})
             self.assertEqual(len(self.fleet.candidates("desk")), 398)
-            self.assertEqual([each.server_id for each in self.gone], ["i_9"])
+            self.assertEqual([start.server_id for start in self.removed], ["i_9"])
 
         trio.run(test, clock=MockClock())
 
-    def test_late_heartbeats(self) -> None:
+    def test_outdated_heartbeats_are_ignored(self) -> None:
         self.apply(i_1=self.server(Sequence=5, State="draining"))
         self.assertEqual(self.apply(i_1=self.server(Sequence=4)), [])
         self.assertEqual(self.apply(i_1=self.server(Sequence=1, born=77)), ["i_1"])
-        self.assertEqual(self.gone, [ServerStart("i_1", 0)])
+        self.assertEqual(self.removed, [ServerStart("i_1", 0)])
         self.assertEqual(self.apply(i_1=self.server(Sequence=6, State="draining")), ["i_1"])
--- a/tests/nocover/test_config_races.py
+++ b/tests/nocover/test_config_races.py
@@ -35,7 +35,7 @@
     """Delays every call and injects faults, both determined by a seed."""
 
     def __init__(self, *, rng: random.Random) -> None:
-        super().__init__(most_events=10)
+        super().__init__(max_events=10)
         self.rng = rng
         self.healed = False
 
